--- a/landingdeal/capture/calls.py
+++ b/landingdeal/capture/calls.py
@@ -217,7 +217,7 @@
     @staticmethod
     def _step(call: _Open, seen: Seen) -> None:
         message = seen.message
-        what = f"{message.status} {message.reason}".strip() if message.status else message.method
+        what = f"{message.status} {message.reason_phrase}".strip() if message.status else message.method
         if message.status and message.cseq[1] != "INVITE":
             what += f" ({message.cseq[1]})"
         if len(call.record.steps) < STEPS_MOST:
--- a/landingdeal/capture/messages.py
+++ b/landingdeal/capture/messages.py
@@ -23,10 +23,10 @@
 from landingdeal.capture.problems import Kind, Problem, Problems
 from landingdeal.capture.streams import Bytes, Conflict, Ended, Event, Streams
 from landingdeal.sip.message import (
-    MAX_MESSAGE,
-    BrokenFraming,
+    MAX_MESSAGE_BYTES,
     Framer,
-    Malformed,
+    FramingError,
+    MalformedMessage,
     Message,
     decode_datagram,
 )
@@ -160,10 +160,10 @@
             )
 
     def _message(
-        self, transport: str, ends: Ends, message: Message | Malformed, time_ns: int, place: Place
+        self, transport: str, ends: Ends, message: Message | MalformedMessage, time_ns: int, place: Place
     ) -> Iterator[Seen]:
-        if isinstance(message, Malformed):
-            self._tell(Kind.MALFORMED_MESSAGE, message.why, place)
+        if isinstance(message, MalformedMessage):
+            self._tell(Kind.MALFORMED_MESSAGE, message.problem, place)
             return
         self.counts["messages"] += 1
         yield Seen(time_ns, transport, *ends, message, place, self.file)
@@ -199,18 +199,18 @@
                 data = self._find(direction, data)
                 if not data:
                     return
-            made: list[Message | Malformed] = []
+            made: list[Message | MalformedMessage] = []
             broken = ""
             try:
                 made.extend(direction.framer.feed(data))
-            except BrokenFraming as error:
+            except FramingError as error:
                 broken = str(error)
             data = b""
             for message in made:
                 yield from self._message("TCP", ends, message, event.time_ns, event.place)
             if broken:
                 self._tell(Kind.MALFORMED_MESSAGE, broken, event.place)
-                rest = direction.framer.held
+                rest = direction.framer.buffer
                 _, _, data = rest.partition(b"\n")  # past the start line that led nowhere
                 direction.framer, direction.lost, direction.held = Framer(), True, b""
 
@@ -226,7 +226,7 @@
         return b""
 
     def _over(self, direction: _Direction, ends: Ends, event: Ended) -> None:
-        left = direction.framer.held.strip(b"\r\n")
+        left = direction.framer.buffer.strip(b"\r\n")
         if not direction.lost and left:
             what = f"{_way(ends)} ends ({event.how}) {len(left)} bytes into a message"
             kind = Kind.TCP_GAP if event.how == "the capture ends" else Kind.MALFORMED_MESSAGE
@@ -238,4 +238,4 @@
     return f"{source}:{source_port} to {target}:{target_port}"
 
 
-__all__ = ["MAX_MESSAGE", "Messages", "Seen", "looks_like_sip"]
+__all__ = ["MAX_MESSAGE_BYTES", "Messages", "Seen", "looks_like_sip"]
--- a/landingdeal/capture/replay.py
+++ b/landingdeal/capture/replay.py
@@ -25,7 +25,7 @@
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.net.link import Link, connect
 from landingdeal.sip.loop import Loop, Work
-from landingdeal.sip.message import Malformed, Message, decode_datagram, encode
+from landingdeal.sip.message import MalformedMessage, Message, decode_datagram, encode
 from landingdeal.sip.transaction import Timing
 from landingdeal.threads import start_thread
 
@@ -123,7 +123,7 @@
         for message in held:
             link.send(message)
 
-    def _message(self, message: Message | Malformed) -> None:
+    def _message(self, message: Message | MalformedMessage) -> None:
         if isinstance(message, Message):
             self.engine.received(message)
 
--- a/landingdeal/capture/sample.py
+++ b/landingdeal/capture/sample.py
@@ -73,7 +73,7 @@
         made = response(to, status, *more, body=body)
         tag = f";tag=h{number:x}"
         tagged = tuple((k, v + tag if k == "to" and "tag=" not in v else v) for k, v in made.headers)
-        return Message(status=status, reason=made.reason, headers=tagged, body=body)
+        return Message(status=status, reason_phrase=made.reason_phrase, headers=tagged, body=body)
 
     kind = random_.choice(shape.classes)
     invite = ask("INVITE", 1, f"<{uri}>", f"{number:x}i", ("subject", kind), ("x-patience", "9000"),
--- a/landingdeal/lab/answerer.py
+++ b/landingdeal/lab/answerer.py
@@ -129,7 +129,7 @@
     def _tagged(to: Message, status: int, *more: tuple[str, str], body: bytes = b"") -> Message:
         made = response(to, status, *more, body=body)
         headers = tuple((k, f"{v};tag=a" if k == "to" and ";tag=" not in v else v) for k, v in made.headers)
-        return Message(status=status, reason=made.reason, headers=headers, body=body)
+        return Message(status=status, reason_phrase=made.reason_phrase, headers=headers, body=body)
 
     def _final(self, invite: Message, put: Put) -> None:
         call = invite.call_id
--- a/landingdeal/lab/trial/loop.py
+++ b/landingdeal/lab/trial/loop.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from landingdeal.lab.ports import free_port
-from landingdeal.sip.message import BrokenFraming, Framer, Malformed, Message
+from landingdeal.sip.message import Framer, FramingError, MalformedMessage, Message
 
 TICK_S = 0.02  # the longest wait of the selector
 READ_SIZE = 65536
@@ -184,10 +184,10 @@
             for message in self.framer.feed(data):
                 if self.ended:
                     return  # its party closed it meanwhile: what is left was never seen
-                if isinstance(message, Malformed):
+                if isinstance(message, MalformedMessage):
                     self.on_unreadable(self)
                 else:
                     self.on_message(self, message)
-        except BrokenFraming:
+        except FramingError:
             self.on_unreadable(self)
             self.close()
--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -16,8 +16,8 @@
 from landingdeal.net.link import CallerLink, Door
 from landingdeal.net.set_up import offer_of
 from landingdeal.net.transaction import CallerTransaction
-from landingdeal.sip.headers import ALLOW, reason_header
-from landingdeal.sip.message import TOO_LARGE, Malformed, Message, request, response
+from landingdeal.sip.headers import ALLOW_HEADER, reason_header
+from landingdeal.sip.message import TOO_LARGE, MalformedMessage, Message, request, response
 
 LINKS_PART = 0.4  # of the descriptors: callers hold a third at most; above this the idlest is closed
 BURST_PART = 0.6  # and above this, while those are being closed, whoever comes
@@ -149,13 +149,13 @@
         while self.told and now_ms() - self.told[0][0] >= SETTLE_MS:
             self.told.popleft()
 
-    def _message(self, link: CallerLink, message: Message | Malformed) -> None:
-        if isinstance(message, Malformed):
+    def _message(self, link: CallerLink, message: Message | MalformedMessage) -> None:
+        if isinstance(message, MalformedMessage):
             spoilt = message.message
             if spoilt.status or spoilt.method == "ACK":
                 return
             if not (spoilt.call_id and self._repeated(link, spoilt.call_id)):
-                link.send(response(spoilt, 413 if message.why == TOO_LARGE else 400))
+                link.send(response(spoilt, 413 if message.problem == TOO_LARGE else 400))
             return
         if message.status:
             return  # a release that was heard
@@ -174,7 +174,7 @@
             case "ACK":
                 pass
             case _:
-                link.send(response(message, 405, ALLOW))
+                link.send(response(message, 405, ALLOW_HEADER))
 
     def _cancel(self, link: CallerLink, message: Message) -> None:
         with self.lock:
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -12,8 +12,8 @@
 from landingdeal.core.events import Attempt, Ended, GroupState, HubDied, HubReleased, Probed, Stood
 from landingdeal.log import record, say
 from landingdeal.net.link import HubLink, Link, dial
-from landingdeal.sip.headers import cause_of, figures_of, reason_header, reason_of
-from landingdeal.sip.message import BrokenFraming, Malformed, Message, request, response
+from landingdeal.sip.headers import load_values, reason_header, rejection_reason, release_cause
+from landingdeal.sip.message import FramingError, MalformedMessage, Message, request, response
 from landingdeal.threads import start_lasting_thread
 
 QUIET_MS = 2500.0  # a lab hub that has said nothing for so long is asked for a new connection
@@ -394,11 +394,11 @@
 
     # --- what lab hubs say ---
 
-    def _message(self, hub: Hub, link: HubLink, message: Message | Malformed) -> None:
+    def _message(self, hub: Hub, link: HubLink, message: Message | MalformedMessage) -> None:
         self._heard(hub)
-        if isinstance(message, Malformed):
+        if isinstance(message, MalformedMessage):
             # guards against waiting for answers on a connection that a spoilt one has made useless
-            raise BrokenFraming(f"{hub.name!r} sent what is not SIP: {message.why}")
+            raise FramingError(f"{hub.name!r} sent what is not SIP: {message.problem}")
         if message.status:
             method = message.cseq[1]
             if method == "INVITE" and message.status >= 200:
@@ -409,10 +409,10 @@
         match message.method:
             case "BYE":
                 link.send(response(message, 200))
-                figures = figures_of(message, self.set)
-                self.inbox.tell(HubReleased(message.call_id, hub.name, cause_of(message), figures))
+                figures = load_values(message, self.set)
+                self.inbox.tell(HubReleased(message.call_id, hub.name, release_cause(message), figures))
             case "NOTIFY":
-                self.inbox.tell(GroupState(hub.name, figures_of(message, self.set)))
+                self.inbox.tell(GroupState(hub.name, load_values(message, self.set)))
             case "OPTIONS":
                 link.send(response(message, 200))
             case _:
@@ -428,7 +428,7 @@
                 return  # a second copy, or of an id that is not ours: what stands is not touched by it
             if message.status < 300 and not is_description(message.body):
                 # its set-up stays open here, and ends with the connection
-                raise BrokenFraming(f"{hub.name!r} sent what is no description")
+                raise FramingError(f"{hub.name!r} sent what is no description")
             attempt = here.pop(call, None)
             link.given_up.pop(call, None)
         link.send(request("ACK", attempt.offer.uri if attempt else "sip:hub@net", self.via, ("call-id", call),
@@ -441,8 +441,8 @@
             self.inbox.tell(Stood(attempt, message.body))
             return
         ending = ENDINGS.get(message.status, Ending.ERROR)
-        reason = reason_of(message)
-        self.inbox.tell(Ended(attempt, ending, reason, figures_of(message, self.set)))
+        reason = rejection_reason(message)
+        self.inbox.tell(Ended(attempt, ending, reason, load_values(message, self.set)))
 
     def _unwanted(self, hub: Hub, link: Link, call: str) -> None:
         """An answer that crossed our CANCEL: what stands for nobody is released, unless sent there again."""
@@ -458,5 +458,5 @@
             now = now_ms()
             well = message.status < 300 and now <= probing.deadline_ms
             self.inbox.tell(
-                Probed(hub.name, well, max(now - probing.sent_ms, 0.1), figures_of(message, self.set))
+                Probed(hub.name, well, max(now - probing.sent_ms, 0.1), load_values(message, self.set))
             )
--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -20,7 +20,7 @@
 from landingdeal.core import steps
 from landingdeal.core.lifecycle import Held
 from landingdeal.log import say
-from landingdeal.sip.message import BrokenFraming, Framer, Malformed, Message, Oversize, encode
+from landingdeal.sip.message import Framer, FramingError, MalformedMessage, Message, OversizedMessage, encode
 from landingdeal.threads import start_lasting_thread, start_thread
 
 FOREVER = float("inf")
@@ -81,7 +81,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        on_message: Callable[[Link, Message | Malformed], None],
+        on_message: Callable[[Link, Message | MalformedMessage], None],
         on_end: Callable[[Link, bool], None],
     ) -> None:
         self.sock = sock
@@ -197,10 +197,10 @@
         """True if the peer has reset the connection."""
         try:
             return self._receive()
-        except Oversize as error:
+        except OversizedMessage as error:
             self._spoilt(str(error))
             self._skip(error)
-        except BrokenFraming as error:
+        except FramingError as error:
             self._spoilt(str(error))
         except BlockingIOError:
             self._spoilt("a message was not whole in time")
@@ -221,12 +221,12 @@
                 return self.alive and self._torn()
             steps.at(steps.READ)
             self.heard_ms = now_ms()
-            began, whole = bool(framer.held), False
+            began, whole = bool(framer.buffer), False
             for message in framer.feed(data):
                 whole = True
                 self.on_message(self, message)
             self.handled += len(data)
-            if not framer.held:
+            if not framer.buffer:
                 due = FOREVER if whole else due
             elif whole or not began:
                 due = min(self.heard_ms + self.UNFINISHED_MS, FOREVER if whole else due)
@@ -252,7 +252,7 @@
             return self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] not in GONE_STATES
         return True
 
-    def _skip(self, error: Oversize) -> None:
+    def _skip(self, error: OversizedMessage) -> None:
         """What becomes of a message that is too large: here its connection just ends."""
 
 
@@ -267,7 +267,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        on_message: Callable[[CallerLink, Message | Malformed], None],
+        on_message: Callable[[CallerLink, Message | MalformedMessage], None],
         on_end: Callable[[CallerLink, bool], None],
         on_unreadable: Callable[[CallerLink], None],
         owed: Callable[[CallerLink], int],
@@ -282,10 +282,10 @@
         while self.alive and (self.owed(self) or self.unsent()) and now_ms() < until:
             time.sleep(seconds_until(min(now_ms() + 5, until)))
 
-    def _skip(self, error: Oversize) -> None:
+    def _skip(self, error: OversizedMessage) -> None:
         """Refused, then read without being kept: a close with bytes unread would overtake the refusal."""
         self.on_message(self, error.malformed)
-        left, until, into = error.rest, now_ms() + self.UNFINISHED_MS, bytearray(4 * READ_SIZE)
+        left, until, into = error.remaining_bytes, now_ms() + self.UNFINISHED_MS, bytearray(4 * READ_SIZE)
         if left > SKIP_MOST:
             return
         with contextlib.suppress(OSError):
@@ -305,7 +305,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        on_message: Callable[[HubLink, Message | Malformed], None],
+        on_message: Callable[[HubLink, Message | MalformedMessage], None],
         on_end: Callable[[HubLink, bool], None],
     ) -> None:
         super().__init__(sock, lambda _, message: on_message(self, message), lambda _, r: on_end(self, r))
--- a/landingdeal/sip/dialog.py
+++ b/landingdeal/sip/dialog.py
@@ -19,7 +19,7 @@
         self.remote_tag = parse_name_addr(self.remote).tag
         other = final if client else invite
         self.target = contact_of(other) or (invite.uri if client else parse_name_addr(self.remote).uri)
-        routes = [part.strip() for value in other.all("record-route") for part in split_top(value, ",")]
+        routes = [part.strip() for value in other.get_all("record-route") for part in split_top(value, ",")]
         self.routes = routes[::-1] if client else routes
         self.seq = invite.cseq[0] if client else 0
         self.remote_seq = -1 if client else invite.cseq[0]
--- a/landingdeal/sip/endpoint.py
+++ b/landingdeal/sip/endpoint.py
@@ -24,7 +24,7 @@
 from landingdeal.sip.call import SipConfig
 from landingdeal.sip.dialog import Dialog
 from landingdeal.sip.loop import Loop, Work
-from landingdeal.sip.message import Malformed, Message, response
+from landingdeal.sip.message import MalformedMessage, Message, response
 from landingdeal.sip.transaction import ClientTransaction, Flow, ServerTransaction, Transaction
 from landingdeal.sip.transport import Received, Tap, TcpFlow, Transports
 
@@ -135,23 +135,23 @@
 
     def _received(self, received: Received) -> None:
         message = received.message
-        if isinstance(message, Malformed):
+        if isinstance(message, MalformedMessage):
             self._malformed(received, message)
         elif message.status:
             self._response(message)
         else:
             self._request(received, message)
 
-    def _malformed(self, received: Received, malformed: Malformed) -> None:
+    def _malformed(self, received: Received, malformed: MalformedMessage) -> None:
         message = malformed.message
         if not message.status and message.method not in ("", "ACK"):
-            status = 505 if malformed.why == "version" else 400
+            status = 505 if malformed.problem == "version" else 400
             reply = self._reply(message, status)
-            received.flow.send(replace(reply, reason=f"{reply.reason} ({malformed.why})"))
+            received.flow.send(replace(reply, reason_phrase=f"{reply.reason_phrase} ({malformed.problem})"))
 
     def _response(self, message: Message) -> None:
         try:
-            branch = top_via(message.all("via")).branch
+            branch = top_via(message.get_all("via")).branch
         except BadAddress:
             branch = ""
         transaction = self.clients.get(f"{branch}|{message.cseq[1]}")
@@ -171,7 +171,7 @@
             if not (hops.isascii() and hops.isdecimal() and int(hops) <= 255):
                 raise BadAddress("Max-Forwards")
         except BadAddress as error:
-            self._malformed(received, Malformed(str(error), message))
+            self._malformed(received, MalformedMessage(str(error), message))
             return
         marked = first.strip()
         if via.host != received.host:
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -30,7 +30,7 @@
 from landingdeal.sip.capture import Capture, CaptureFlow
 from landingdeal.sip.dialog import Dialog
 from landingdeal.sip.endpoint import Endpoint, ReplyFlow
-from landingdeal.sip.headers import ALLOW, cause_of, figures_of, reason_header, reason_of
+from landingdeal.sip.headers import ALLOW_HEADER, load_values, reason_header, rejection_reason, release_cause
 from landingdeal.sip.message import Message, request, response
 from landingdeal.sip.transaction import (
     Flow,
@@ -120,7 +120,7 @@
         message = transaction.request
         required = message.get("require")
         if message.method not in ("INVITE", "CANCEL", "BYE", "OPTIONS"):
-            transaction.respond(self._reply(message, 405, ALLOW))
+            transaction.respond(self._reply(message, 405, ALLOW_HEADER))
         elif required and message.method != "CANCEL":
             transaction.respond(self._reply(message, 420, ("unsupported", required)))
         elif message.method == "CANCEL":
@@ -128,7 +128,7 @@
         elif to_tag:
             self._within(transaction, to_tag, flow)
         elif message.method == "OPTIONS":
-            transaction.respond(self._reply(message, 200, ALLOW, ("accept", "application/sdp")))
+            transaction.respond(self._reply(message, 200, ALLOW_HEADER, ("accept", "application/sdp")))
         elif message.method == "BYE":
             transaction.respond(self._reply(message, 481))
         else:
@@ -235,8 +235,8 @@
         kind = ("content-type", call.answer_kind)
         flow = call.server.flow
         final = self._reply(
-            invite, 200, self._contact(flow), ALLOW, *([kind] if description else []),
-            *[("record-route", v) for v in invite.all("record-route")], tag=call.tag, body=description,
+            invite, 200, self._contact(flow), ALLOW_HEADER, *([kind] if description else []),
+            *[("record-route", v) for v in invite.get_all("record-route")], tag=call.tag, body=description,
         )  # fmt: skip
         first = flow.first if isinstance(flow, ReplyFlow) else flow
         side = call.caller_side = Side(call, Dialog(invite, final, first, client=False), caller=True)
@@ -301,7 +301,7 @@
             ("max-forwards", str(hops)),
             ("from", f"<sip:landingdeal@{self.config.host}:{self.config.port}>;tag={self._tag()}"),
             ("to", f"<sip:{user}@{hub.host}:{hub.port}>"), ("call-id", f"{call.key}-{attempt.number}"),
-            ("cseq", "1 INVITE"), self._contact(flow), ALLOW, ("subject", attempt.offer.class_name),
+            ("cseq", "1 INVITE"), self._contact(flow), ALLOW_HEADER, ("subject", attempt.offer.class_name),
             ("x-patience", str(int(left))), ("expires", str(math.ceil(left / 1000))), *content(invite),
             body=invite.body,
         )  # fmt: skip
@@ -326,7 +326,7 @@
         if leg.cancelled:
             return
         transaction = leg.transaction
-        ending, reason = ENDINGS.get(message.status, Ending.ERROR), reason_of(message)
+        ending, reason = ENDINGS.get(message.status, Ending.ERROR), rejection_reason(message)
         if not message.get("via") and message.status == 503:  # the transport failed
             up = transaction is None or transaction.flow.was_up
             ending = Ending.CUT if up else Ending.UNREACHABLE
@@ -334,7 +334,7 @@
             reason = Reason.PROCESSOR_FULL
         elif message.status in BUSY:
             reason = Reason.LINES_BUSY
-        self.inbox.tell(Ended(leg.attempt, ending, reason, figures_of(message, self.set)))
+        self.inbox.tell(Ended(leg.attempt, ending, reason, load_values(message, self.set)))
 
     def _stands(self, leg: Leg, message: Message) -> None:
         transaction, call = leg.transaction, leg.call
@@ -430,7 +430,7 @@
             if not done and message.status >= 200:
                 done = True
                 well = message.status < 300
-                self.inbox.tell(Probed(name, well, self.now() - asked + 0.1, figures_of(message, self.set)))
+                self.inbox.tell(Probed(name, well, self.now() - asked + 0.1, load_values(message, self.set)))
 
         flow = self.transports.to(hub.transport, hub.host, hub.port, deadline_ms)
         uri = f"sip:load@{hub.host}:{hub.port}"
@@ -475,9 +475,9 @@
             self._reinvite(side, transaction)
             return
         side.dialog.remote_seq = number
-        transaction.respond(self._reply(message, 200, ALLOW))
+        transaction.respond(self._reply(message, 200, ALLOW_HEADER))
         if message.method == "BYE":
-            self._drop_call(side.call, cause_of(message), side)
+            self._drop_call(side.call, release_cause(message), side)
 
     def _reinvite(self, side: Side, transaction: ServerTransaction) -> None:
         message, other = transaction.request, side.other
@@ -494,7 +494,7 @@
         transaction.respond(response(message, 100))
         flow = self._flow_for(other.dialog)
         made = other.dialog.make(
-            "INVITE", self._via(flow), self._contact(flow), ALLOW, *content(message), body=message.body
+            "INVITE", self._via(flow), self._contact(flow), ALLOW_HEADER, *content(message), body=message.body
         )
         other.dialog.invite_seq = made.cseq[0]
         side.cancelled = False
@@ -522,7 +522,7 @@
                 self._acknowledge(other, None)
             side.incoming = None
             contact = self._contact(transaction.flow)
-            final = self._reply(asked, 200, contact, ALLOW, *content(got), body=got.body)
+            final = self._reply(asked, 200, contact, ALLOW_HEADER, *content(got), body=got.body)
             self._stand(side, transaction, final)
             return
         side.incoming = None
--- a/landingdeal/sip/headers.py
+++ b/landingdeal/sip/headers.py
@@ -5,7 +5,7 @@
 from badgerstile.interface import Figure, Reason, Settings
 from landingdeal.sip.message import Message
 
-REPORT_NAMES = {
+LOAD_FIELD_NAMES = {
     "x0": Figure.FREE_CIRCUITS, "free": Figure.FREE_CIRCUITS,
     "x1": Figure.GROUP_SIZE, "size": Figure.GROUP_SIZE,
     "queue": Figure.QUEUE, "depth": Figure.QUEUE,
@@ -15,14 +15,14 @@
     "inflight": Figure.IN_WORK, "concurrent": Figure.IN_WORK,
     "eps": Figure.HOLD_BACK, "hold_back": Figure.HOLD_BACK,
 }  # fmt: skip
-ALLOW = ("allow", "INVITE, ACK, CANCEL, BYE, OPTIONS")
-NOTES = {
+ALLOW_HEADER = ("allow", "INVITE, ACK, CANCEL, BYE, OPTIONS")
+REASONS_BY_NOTE = {
     "nc": Reason.NO_CIRCUIT, "tb": Reason.TANDEM, "fovl": Reason.TANDEM_FAR_FULL,
     "ovl": Reason.PROCESSOR_FULL, "busy": Reason.LINES_BUSY,
 }  # fmt: skip
 
 
-def cause_of(message: Message) -> int:
+def release_cause(message: Message) -> int:
     """The cause of `Reason: Q.850;cause=N`; 16, an ordinary end, where none can be read."""
     _, _, value = message.get("reason").partition("cause=")
     digits = value.split(";")[0].strip()
@@ -33,20 +33,20 @@
     return "reason", f"Q.850;cause={cause}"
 
 
-def reason_of(message: Message) -> Reason:
-    return NOTES.get(message.get("x-note").strip(), Reason.NONE)
+def rejection_reason(message: Message) -> Reason:
+    return REASONS_BY_NOTE.get(message.get("x-note").strip(), Reason.NONE)
 
 
-def figures_of(message: Message, settings: Settings) -> tuple[float, ...]:
+def load_values(message: Message, settings: Settings) -> tuple[float, ...]:
     """`X-State: x0:12;x1:40;queue:3` in the order of the settings; -1 for what it does not name."""
     text = message.get("x-state")
     if not text:
         return ()
-    told: dict[Figure, float] = {}
+    reported: dict[Figure, float] = {}
     for part in text.split(";"):
         name, _, value = part.partition(":")
         try:
-            told[REPORT_NAMES.get(name.strip(), Figure.UNKNOWN)] = float(value)
+            reported[LOAD_FIELD_NAMES.get(name.strip(), Figure.UNKNOWN)] = float(value)
         except ValueError:
             continue
-    return tuple(told.get(figure, -1.0) for figure in settings.figures)
+    return tuple(reported.get(figure, -1.0) for figure in settings.figures)
--- a/landingdeal/sip/message.py
+++ b/landingdeal/sip/message.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-MAX_MESSAGE = 16 * 1024
+MAX_MESSAGE_BYTES = 16 * 1024
 TOO_LARGE = "over 16 KiB"
-COMPACT = {
+COMPACT_HEADER_NAMES = {
     "v": "via", "f": "from", "t": "to", "i": "call-id", "m": "contact", "l": "content-length",
     "s": "subject", "c": "content-type", "k": "supported", "e": "content-encoding",
 }  # fmt: skip
-METHOD_CHARS = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-.!%*_+`'~")
-REASONS = {
+METHOD_CHARACTERS = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-.!%*_+`'~")
+REASON_PHRASES = {
     100: "Trying", 180: "Ringing", 200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
     405: "Method Not Allowed", 408: "Request Timeout", 416: "Unsupported URI Scheme",
     420: "Bad Extension", 480: "Temporarily Unavailable", 481: "Call/Transaction Does Not Exist",
@@ -22,16 +22,16 @@
 }  # fmt: skip
 
 
-class BrokenFraming(Exception):
+class FramingError(Exception):
     """Where the next message begins can't be told any more: the connection has to end."""
 
 
-class Oversize(BrokenFraming):
+class OversizedMessage(FramingError):
     """A message over 16 KiB whose end is known: `rest` bytes of it are still to come."""
 
-    def __init__(self, malformed: Malformed, rest: int) -> None:
+    def __init__(self, malformed: MalformedMessage, remaining_bytes: int) -> None:
         super().__init__("a message over 16 KiB")
-        self.malformed, self.rest = malformed, rest
+        self.malformed, self.remaining_bytes = malformed, remaining_bytes
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     method: str = ""
     uri: str = ""
     status: int = 0
-    reason: str = ""
+    reason_phrase: str = ""
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
 
@@ -51,7 +51,7 @@
                 return value
         return default
 
-    def all(self, name: str) -> list[str]:
+    def get_all(self, name: str) -> list[str]:
         return [value for key, value in self.headers if key == name]
 
     @property
@@ -65,10 +65,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
+class MalformedMessage:
     """A message whose bounds were clear but whose content is not SIP; `message` is what could be read."""
 
-    why: str
+    problem: str
     message: Message = field(default_factory=Message)
 
 
@@ -76,42 +76,53 @@
     return Message(method, uri, headers=headers, body=body)
 
 
-def response(to: Message, status: int, *more: tuple[str, str], body: bytes = b"") -> Message:
+def response(
+    answered_request: Message, status: int, *extra_headers: tuple[str, str], body: bytes = b""
+) -> Message:
     """The response to a request: Via, From, To, Call-ID and CSeq are copied as RFC 3261 8.2.6.2 says."""
-    kept = tuple((k, v) for k, v in to.headers if k in ("via", "from", "to", "call-id", "cseq"))
-    return Message(status=status, reason=REASONS.get(status, "Other"), headers=kept + more, body=body)
+    copied = tuple(
+        (name, value)
+        for name, value in answered_request.headers
+        if name in ("via", "from", "to", "call-id", "cseq")
+    )
+    return Message(
+        status=status,
+        reason_phrase=REASON_PHRASES.get(status, "Other"),
+        headers=copied + extra_headers,
+        body=body,
+    )
 
 
-_SPELLED = {"call-id": "Call-ID", "cseq": "CSeq", "www-authenticate": "WWW-Authenticate"}
+_HEADER_SPELLINGS = {"call-id": "Call-ID", "cseq": "CSeq", "www-authenticate": "WWW-Authenticate"}
 
 
 def encode(message: Message) -> bytes:
     if message.status:
-        lines = [f"SIP/2.0 {message.status} {message.reason}"]
+        lines = [f"SIP/2.0 {message.status} {message.reason_phrase}"]
     else:
         lines = [f"{message.method} {message.uri} SIP/2.0"]
     for name, value in message.headers:
         if name != "content-length":
-            lines.append(f"{_SPELLED.get(name) or name.title()}: {value}")
+            lines.append(f"{_HEADER_SPELLINGS.get(name) or name.title()}: {value}")
     lines.append(f"Content-Length: {len(message.body)}\r\n\r\n")
     return "\r\n".join(lines).encode("utf-8", "surrogateescape") + message.body
 
 
-def _headers(lines: list[str]) -> tuple[tuple[tuple[str, str], ...], str]:
+def _parse_header_lines(lines: list[str]) -> tuple[tuple[tuple[str, str], ...], str]:
     """The headers, with folded lines joined, and what is wrong with them (or nothing)."""
-    found: list[tuple[str, str]] = []
-    wrong = ""
+    headers: list[tuple[str, str]] = []
+    problem = ""
     for line in lines:
-        if line[:1] in (" ", "\t") and found:
-            found[-1] = (found[-1][0], f"{found[-1][1]} {line.strip()}".strip())
+        if line[:1] in (" ", "\t") and headers:
+            headers[-1] = (headers[-1][0], f"{headers[-1][1]} {line.strip()}".strip())
             continue
         name, colon, value = line.partition(":")
         name = name.strip().lower()
         if not colon or not name or " " in name:
-            wrong = wrong or "a header line without a name"
+            problem = problem or "a header line without a name"
             continue
-        found.append((COMPACT.get(name, name), value.strip()))
-    return tuple(found), wrong
+        headers.append((COMPACT_HEADER_NAMES.get(name, name), value.strip()))
+    return tuple(headers), problem
 
 
 def content_length(headers: tuple[tuple[str, str], ...]) -> int | None:
@@ -125,72 +136,74 @@
     return int(value)
 
 
-def _build(head: bytes, headers: tuple[tuple[str, str], ...], wrong: str, body: bytes) -> Message | Malformed:
-    start = head.split(b"\r\n", 1)[0].decode("utf-8", "surrogateescape")
-    words = start.split(" ", 2)
+def _parse_message(
+    head: bytes, headers: tuple[tuple[str, str], ...], problem: str, body: bytes
+) -> Message | MalformedMessage:
+    start_line = head.split(b"\r\n", 1)[0].decode("utf-8", "surrogateescape")
+    words = start_line.split(" ", 2)
     if words[0] == "SIP/2.0":
         code = words[1] if len(words) > 1 and words[1].isascii() and words[1].isdecimal() else "0"
         if len(code) != 3 or not 100 <= int(code) <= 699:
-            return Malformed("status line", Message(headers=headers))
-        made = Message("", "", int(code), words[2] if len(words) > 2 else "", headers, body)
+            return MalformedMessage("status line", Message(headers=headers))
+        message = Message("", "", int(code), words[2] if len(words) > 2 else "", headers, body)
     else:
-        if len(words) != 3 or not words[0] or not METHOD_CHARS.issuperset(words[0]) or not words[1]:
-            return Malformed("request line", Message("UNKNOWN", headers=headers))
-        made = Message(words[0], words[1], headers=headers, body=body)
+        if len(words) != 3 or not words[0] or not METHOD_CHARACTERS.issuperset(words[0]) or not words[1]:
+            return MalformedMessage("request line", Message("UNKNOWN", headers=headers))
+        message = Message(words[0], words[1], headers=headers, body=body)
         if words[2] != "SIP/2.0":
-            return Malformed("version", made)
-    if wrong:
-        return Malformed(wrong, made)
-    if not made.call_id or " " in made.call_id:
-        return Malformed("Call-ID", made)
-    number, method = made.cseq
-    if number < 0 or number >= 2**31 or not method or (made.method and method != made.method):
-        return Malformed("CSeq", made)
-    return made
+            return MalformedMessage("version", message)
+    if problem:
+        return MalformedMessage(problem, message)
+    if not message.call_id or " " in message.call_id:
+        return MalformedMessage("Call-ID", message)
+    number, method = message.cseq
+    if number < 0 or number >= 2**31 or not method or (message.method and method != message.method):
+        return MalformedMessage("CSeq", message)
+    return message
 
 
-def _split(head: bytes) -> tuple[tuple[tuple[str, str], ...], str]:
-    return _headers(head.decode("utf-8", "surrogateescape").split("\r\n")[1:])
+def _parse_headers(head: bytes) -> tuple[tuple[tuple[str, str], ...], str]:
+    return _parse_header_lines(head.decode("utf-8", "surrogateescape").split("\r\n")[1:])
 
 
-def decode_datagram(data: bytes) -> Message | Malformed:
+def decode_datagram(data: bytes) -> Message | MalformedMessage:
     """One message of a datagram; bytes past Content-Length are dropped, too few are malformed (18.3)."""
-    head, gap, body = data.lstrip(b"\r\n").partition(b"\r\n\r\n")
-    headers, wrong = _split(head)
+    head, separator, body = data.lstrip(b"\r\n").partition(b"\r\n\r\n")
+    headers, problem = _parse_headers(head)
     length = content_length(headers)
     if length is None:
         length = len(body)
-    if not gap or length < 0 or length > len(body):
-        wrong, length = wrong or "Content-Length", 0
-    return _build(head, headers, wrong, body[:length])
+    if not separator or length < 0 or length > len(body):
+        problem, length = problem or "Content-Length", 0
+    return _parse_message(head, headers, problem, body[:length])
 
 
 class Framer:
     """Cuts a stream into messages by Content-Length; raises BrokenFraming where that can't be done."""
 
     def __init__(self) -> None:
-        self.held = b""
+        self.buffer = b""
 
-    def feed(self, data: bytes) -> Iterator[Message | Malformed]:
-        self.held += data
+    def feed(self, data: bytes) -> Iterator[Message | MalformedMessage]:
+        self.buffer += data
         while True:
-            self.held = self.held.lstrip(b"\r\n")
-            end = self.held.find(b"\r\n\r\n")
+            self.buffer = self.buffer.lstrip(b"\r\n")
+            end = self.buffer.find(b"\r\n\r\n")
             if end < 0:
-                if len(self.held) > MAX_MESSAGE:
-                    raise BrokenFraming("a message head over 16 KiB")
+                if len(self.buffer) > MAX_MESSAGE_BYTES:
+                    raise FramingError("a message head over 16 KiB")
                 return
-            head = self.held[:end]
-            headers, wrong = _split(head)
+            head = self.buffer[:end]
+            headers, problem = _parse_headers(head)
             length = content_length(headers)
             if length is None or length < 0:
-                raise BrokenFraming("no usable Content-Length")
+                raise FramingError("no usable Content-Length")
             total = end + 4 + length
-            if total > MAX_MESSAGE:
-                built = _build(head, headers, wrong, b"")
-                message = built.message if isinstance(built, Malformed) else built
-                raise Oversize(Malformed(TOO_LARGE, message), total - len(self.held))
-            if len(self.held) < total:
+            if total > MAX_MESSAGE_BYTES:
+                parsed = _parse_message(head, headers, problem, b"")
+                message = parsed.message if isinstance(parsed, MalformedMessage) else parsed
+                raise OversizedMessage(MalformedMessage(TOO_LARGE, message), total - len(self.buffer))
+            if len(self.buffer) < total:
                 return
-            body, self.held = self.held[end + 4 : total], self.held[total:]
-            yield _build(head, headers, wrong, body)
+            body, self.buffer = self.buffer[end + 4 : total], self.buffer[total:]
+            yield _parse_message(head, headers, problem, body)
--- a/landingdeal/sip/transport.py
+++ b/landingdeal/sip/transport.py
@@ -12,7 +12,7 @@
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import say
 from landingdeal.net.link import Door, Link, dial
-from landingdeal.sip.message import MAX_MESSAGE, Malformed, Message, decode_datagram, encode
+from landingdeal.sip.message import MAX_MESSAGE_BYTES, MalformedMessage, Message, decode_datagram, encode
 from landingdeal.sip.transaction import Flow
 from landingdeal.threads import start_thread
 
@@ -25,7 +25,7 @@
 class Received:
     """A message as it came: from where, and the flow on which an answer goes back."""
 
-    message: Message | Malformed
+    message: Message | MalformedMessage
     host: str
     port: int
     flow: Flow
@@ -173,7 +173,7 @@
         flow.up(link)
         link.start()
 
-    def _received(self, flow: TcpFlow, message: Message | Malformed) -> None:
+    def _received(self, flow: TcpFlow, message: Message | MalformedMessage) -> None:
         if self.tap is not None and isinstance(message, Message):
             self.tap.passed("TCP", (flow.host, flow.port), flow.local, message)
         self.on_received(Received(message, flow.host, flow.port, flow))
@@ -196,7 +196,7 @@
                 if self.udp.fileno() < 0:
                     return
                 continue  # an ICMP error of an earlier datagram
-            if len(data) > MAX_MESSAGE:
+            if len(data) > MAX_MESSAGE_BYTES:
                 self.oversize += 1
                 say(f"UDP {host}:{port}: {len(data)} bytes are over 16 KiB ({self.oversize} so far)")
             elif data.strip(b"\r\n\0"):  # keep-alives are empty
--- a/tests/rig/restarts.py
+++ b/tests/rig/restarts.py
@@ -29,7 +29,7 @@
 from pathlib import Path
 
 from landingdeal.lab.ports import free_port
-from landingdeal.sip.message import BrokenFraming, Framer, Malformed, Message, encode, request, response
+from landingdeal.sip.message import Framer, FramingError, MalformedMessage, Message, encode, request, response
 from tests.scenario import BODY, ROOT, SETTINGS
 
 CROSS_S = 0.050
@@ -188,9 +188,9 @@
             return
         try:
             for message in wire.framer.feed(data):
-                assert not isinstance(message, Malformed), message
+                assert not isinstance(message, MalformedMessage), message
                 wire.came(wire, message)
-        except BrokenFraming as error:
+        except FramingError as error:
             self.tally.notes.append(f"unreadable: {error}")
             self._end(wire, "unreadable")
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -33,7 +33,7 @@
 from typing import Any, Protocol
 
 from landingdeal.lab.ports import free_port
-from landingdeal.sip.message import Framer, Malformed, Message, encode, request, response
+from landingdeal.sip.message import Framer, MalformedMessage, Message, encode, request, response
 
 PATIENCE_S = 8.0
 ROOT = Path(__file__).parent.parent
@@ -95,8 +95,8 @@
     wires: list[Wire] = field(default_factory=list)
     requests: dict[str, tuple[Wire, Message]] = field(default_factory=dict)
 
-    def came(self, wire: Wire, message: Message | Malformed | None) -> None:
-        assert not isinstance(message, Malformed), message
+    def came(self, wire: Wire, message: Message | MalformedMessage | None) -> None:
+        assert not isinstance(message, MalformedMessage), message
         if message is not None and message.uri == "sip:load@net":  # a lab hub that lives says so
             wire.put(encode(response(message, 200)))
             return
--- a/tests/scenario_sip.py
+++ b/tests/scenario_sip.py
@@ -25,7 +25,7 @@
 
 from landingdeal.lab.ports import free_port
 from landingdeal.sip.address import parse_name_addr
-from landingdeal.sip.message import Malformed, Message, decode_datagram, encode, request, response
+from landingdeal.sip.message import MalformedMessage, Message, decode_datagram, encode, request, response
 from tests.scenario import BODY, PATIENCE_S, ROOT, Mailbox, TcpWire, check
 
 T1_MS = 50
@@ -76,8 +76,8 @@
                 sock, _ = self.sock.accept()
                 TcpWire(sock, self)
 
-    def came(self, wire: object, message: Message | Malformed | None) -> None:
-        assert not isinstance(message, Malformed), message
+    def came(self, wire: object, message: Message | MalformedMessage | None) -> None:
+        assert not isinstance(message, MalformedMessage), message
         if message is None:
             super().came(wire, None)  # type: ignore[arg-type]
             return
@@ -169,7 +169,7 @@
         body = BODY if status == 200 and of == "INVITE" else b""
         made = response(asked, status, party.contact(), *headers, body=body)
         tagged = tuple((k, v + ";tag=h" if k == "to" and ";tag=" not in v else v) for k, v in made.headers)
-        made = Message(status=status, reason=made.reason, headers=tagged, body=body)
+        made = Message(status=status, reason_phrase=made.reason_phrase, headers=tagged, body=body)
         if of == "INVITE" and status < 300:
             party.stood.setdefault(asked.call_id, made)
         wire.put(encode(made))
--- a/tests/test_convincing.py
+++ b/tests/test_convincing.py
@@ -53,7 +53,7 @@
         tagged = response(to, status, self.contact(), body=body)
         headers = tuple((k, v + ";tag=h" if k == "to" and ";tag=" not in v else v) for k, v in tagged.headers)
         with suppress(OSError):
-            made = Message(status=status, reason="X", headers=headers, body=body)
+            made = Message(status=status, reason_phrase="X", headers=headers, body=body)
             wire.put(encode(made))  # type: ignore[attr-defined]
 
     def _final(self, wire: object, invite: Message, status: int) -> None:
