--- a/landingdeal/capture/calls.py
+++ b/landingdeal/capture/calls.py
@@ -14,7 +14,7 @@
 
 from landingdeal.capture.layers import Address
 from landingdeal.capture.messages import Seen
-from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
+from landingdeal.sip.address import AddressError, parse_name_addr, parse_uri
 from landingdeal.sip.message import Message
 
 LINGER_NS = 32 * 10**9  # after its end a call's retransmissions may still pass (64 times T1)
@@ -301,7 +301,7 @@
     try:
         uri = parse_uri(parse_name_addr(message.get("from")).uri)
         return f"{uri.user}@{uri.host}" if uri.user else uri.host
-    except BadAddress:
+    except AddressError:
         return message.get("from")[:100]
 
 
@@ -310,11 +310,11 @@
     if not text:
         try:
             text = parse_name_addr(message.get("to")).uri
-        except BadAddress:
+        except AddressError:
             return ""
     try:
         return parse_uri(text).user or text
-    except BadAddress:
+    except AddressError:
         return text[:100]
 
 
--- a/landingdeal/capture/player.py
+++ b/landingdeal/capture/player.py
@@ -12,10 +12,17 @@
 
 from landingdeal.capture.calls import Outcome
 from landingdeal.capture.plan import Offered, identity
-from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
+from landingdeal.sip.address import AddressError, parse_name_addr, parse_uri
 from landingdeal.sip.dialog import Dialog
 from landingdeal.sip.message import Message, request, response
-from landingdeal.sip.transaction import ClientTransaction, Flow, Layer, ServerTransaction, State, within
+from landingdeal.sip.transaction import (
+    ClientTransaction,
+    Flow,
+    ServerTransaction,
+    TransactionServices,
+    TransactionState,
+    request_in_transaction,
+)
 
 PATIENCE_MS = 32_000.0  # where the capture tells none
 OWN = frozenset((
@@ -53,7 +60,7 @@
 
     def __init__(
         self,
-        layer: Layer,
+        layer: TransactionServices,
         flow: Flow,
         target: Target,
         offered: Offered,
@@ -84,20 +91,22 @@
         if self.ended:
             return
         if self.offered.cancel_ms >= 0:
-            self.layer.at(planned_ms + self.offered.cancel_ms, self.cancel)
+            self.layer.schedule_at(planned_ms + self.offered.cancel_ms, self.cancel)
         patience = self.offered.patience_ms or PATIENCE_MS
-        self.layer.at(planned_ms + patience, self.cancel)
+        self.layer.schedule_at(planned_ms + patience, self.cancel)
         # after that nothing is awaited for longer than a transaction lasts
-        self.layer.at(planned_ms + patience + self.layer.timing.b, self._give_up)
+        self.layer.schedule_at(planned_ms + patience + self.layer.timing.transaction_timeout, self._give_up)
 
     def _via(self) -> str:
         self.branches += 1
         host, port = self.target.local
-        return f"SIP/2.0/{self.flow.kind} {host}:{port};branch=z9hG4bK{self.call_id}{self.branches};rport"
+        return (
+            f"SIP/2.0/{self.flow.transport} {host}:{port};branch=z9hG4bK{self.call_id}{self.branches};rport"
+        )
 
     def _contact(self) -> tuple[str, str]:
         host, port = self.target.local
-        suffix = ";transport=tcp" if self.flow.kind == "TCP" else ""
+        suffix = ";transport=tcp" if self.flow.transport == "TCP" else ""
         return "contact", f"<sip:replay@{host}:{port}{suffix}>"
 
     def _invite(self) -> Message:
@@ -105,7 +114,7 @@
         try:
             user = parse_uri(recorded.uri).user
             caller = parse_uri(parse_name_addr(recorded.get("from")).uri).user
-        except BadAddress:
+        except AddressError:
             user, caller = "", ""
         uri = f"sip:{user}@{host}:{port}" if user else f"sip:{host}:{port}"
         mine = f"<sip:{caller or 'replay'}@{self.target.local[0]}>;tag={self.tag}"
@@ -132,14 +141,16 @@
 
     def _send_cancel(self) -> None:
         assert self.transaction is not None
-        self.cancelling = self._client(within(self.transaction.request, "CANCEL"), lambda message: None)
+        self.cancelling = self._client(
+            request_in_transaction(self.transaction.request, "CANCEL"), lambda message: None
+        )
 
     def bye(self) -> None:
-        if self.dialog is None or self.dialog.over or self.ended:
+        if self.dialog is None or self.dialog.terminated or self.ended:
             return
-        self.dialog.over = True
+        self.dialog.terminated = True
         self.result.ended_by = "us"
-        made = self.dialog.make("BYE", self._via(), ("reason", "Q.850;cause=16"))
+        made = self.dialog.make_request("BYE", self._via(), ("reason", "Q.850;cause=16"))
         self.ending = self._client(made, self._on_bye)
 
     def _on_bye(self, message: Message) -> None:
@@ -185,7 +196,7 @@
         if self.cancelled:  # it crossed our CANCEL: what stands for nobody is ended
             self.bye()
         else:
-            self.layer.at(self.layer.now() + max(self.offered.hold_ms, 0.0), self.bye)
+            self.layer.schedule_at(self.layer.now() + max(self.offered.hold_ms, 0.0), self.bye)
 
     def _again(self, message: Message) -> None:
         """A 2xx once more: its ACK got lost; or that of another fork, which is ended (13.2.2.4)."""
@@ -194,12 +205,14 @@
         if other.key == self.dialog.key:
             self._ack()
             return
-        self.flow.send(other.make("ACK", self._via(), seq=other.invite_seq))
-        self._client(other.make("BYE", self._via()), lambda message: None)
+        self.flow.send(other.make_request("ACK", self._via(), sequence_number=other.invite_sequence_number))
+        self._client(other.make_request("BYE", self._via()), lambda message: None)
 
     def _ack(self) -> None:
         assert self.dialog is not None
-        self.flow.send(self.dialog.make("ACK", self._via(), seq=self.dialog.invite_seq))
+        self.flow.send(
+            self.dialog.make_request("ACK", self._via(), sequence_number=self.dialog.invite_sequence_number)
+        )
 
     def response(self, message: Message) -> None:
         """Any response of this call: found by branch and method (17.1.3)."""
@@ -207,14 +220,14 @@
         key = f"{branch}|{message.cseq[1]}"
         for transaction in (self.transaction, self.cancelling, self.ending):
             if transaction is not None and transaction.key == key:
-                transaction.received(message)
+                transaction.response_received(message)
 
     def request(self, message: Message) -> None:
         """A request of the other side within this call."""
         key = message.cseq
         known = self.requests.get(key)
         if known is not None:
-            known.retransmitted()
+            known.request_retransmitted()
             return
         if message.method == "ACK":
             return
@@ -224,8 +237,8 @@
         match message.method:
             case "BYE" if self.dialog is not None:
                 server.respond(response(message, 200))
-                if not self.dialog.over:
-                    self.dialog.over = True
+                if not self.dialog.terminated:
+                    self.dialog.terminated = True
                     self.result.ended_by = "them"
                     self._end()
             case "OPTIONS" | "INFO" | "NOTIFY" if self.dialog is not None:
@@ -238,8 +251,11 @@
     def failed(self) -> None:
         """The connection is gone."""
         transaction = self.transaction
-        if transaction is not None and transaction.state in (State.CALLING, State.PROCEEDING):
-            transaction.failed()
+        if transaction is not None and transaction.state in (
+            TransactionState.CALLING,
+            TransactionState.PROCEEDING,
+        ):
+            transaction.transport_failed()
         elif not self.ended and self.dialog is not None:
             self.result.error = self.result.error or "the connection ended while the call stood"
             self._end()
--- a/landingdeal/capture/replay.py
+++ b/landingdeal/capture/replay.py
@@ -24,7 +24,7 @@
 from landingdeal.capture.retries import Model, Retries
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.net.link import Link, connect
-from landingdeal.sip.loop import Loop, Work
+from landingdeal.sip.loop import EventLoop, Work
 from landingdeal.sip.message import MalformedMessage, Message, decode_datagram, encode
 from landingdeal.sip.transaction import Timing
 from landingdeal.threads import start_thread
@@ -51,7 +51,7 @@
 class _Udp:
     """All calls go out from one socket."""
 
-    kind, reliable, alive, was_up = "UDP", False, True, True
+    transport, reliable, alive, was_connected = "UDP", False, True, True
 
     def __init__(self, target: tuple[str, int], received: Callable[[Message], None]) -> None:
         self.target = target
@@ -91,7 +91,7 @@
 class _Tcp:
     """One connection of several; dialled again, with back-off, when the next call is due."""
 
-    kind, reliable = "TCP", True
+    transport, reliable = "TCP", True
 
     def __init__(self, target: tuple[str, int], engine: Replay) -> None:
         self.target, self.engine = target, engine
@@ -102,7 +102,7 @@
         self.link: Link | None = None
         self.held: list[Message] = []
         self.players: dict[str, Player] = {}
-        self.alive, self.was_up = True, False
+        self.alive, self.was_connected = True, False
 
     def dial(self) -> None:
         """In a thread of its own."""
@@ -116,7 +116,7 @@
         self.engine.loop.post(lambda: self._up(link))
 
     def _up(self, link: Link) -> None:
-        self.link, self.was_up = link, True
+        self.link, self.was_connected = link, True
         link.start()
         self.engine.reached()
         held, self.held = self.held, []
@@ -155,7 +155,7 @@
         t1_ms: float = 500.0,
     ) -> None:
         self.plan, self.target, self.shape, self.limits = plan, target, shape, limits
-        self.loop, self.timing = Loop(), Timing(t1_ms)
+        self.loop, self.timing = EventLoop(), Timing(t1_ms)
         self.admission, self.backoff = Admission(limits), Backoff(limits)
         self.retries = Retries(shape.retries, model, random.Random(shape.seed))
         self.report = Report()
@@ -174,13 +174,13 @@
 
     # --- the layer that transactions need ---
 
-    def at(self, deadline_ms: float, work: Work) -> None:
-        self.loop.at(deadline_ms, work)
+    def schedule_at(self, deadline_ms: float, work: Work) -> None:
+        self.loop.schedule_at(deadline_ms, work)
 
     def now(self) -> float:
         return self.loop.now()
 
-    def over(self, transaction: object) -> None:
+    def transaction_terminated(self, transaction: object) -> None:
         pass  # a call's transactions end with it
 
     # --- the run ---
@@ -220,10 +220,10 @@
             one = self.plan[self.next]
             due = self._due_ms(one)
             if due > self.loop.now():
-                self.loop.at(due, self._offer_due)
+                self.loop.schedule_at(due, self._offer_due)
                 return
             if self.next >= self.reserved:  # not written down yet: the disk is slow
-                self.loop.at(self.loop.now() + 1, self._offer_due)
+                self.loop.schedule_at(self.loop.now() + 1, self._offer_due)
                 return
             self.next += 1
             if self.retries.leaves_out(one.first_try > 0):
@@ -301,7 +301,9 @@
         if result.outcome is Outcome.STOOD:
             self.admission.ended()
         # a late retransmission may still want its ACK: known for as long as a transaction lasts
-        self.loop.at(self.loop.now() + min(self.timing.b, 2000.0), lambda: self._forget(player))
+        self.loop.schedule_at(
+            self.loop.now() + min(self.timing.transaction_timeout, 2000.0), lambda: self._forget(player)
+        )
         self._result(result)
 
     def _forget(self, player: Player) -> None:
@@ -323,7 +325,7 @@
                     self.pending -= 1
                     self._try(one, tries + 1, due)
 
-                self.loop.at(due, again)
+                self.loop.schedule_at(due, again)
                 return
         self._conclude(one, result.error or f"{result.outcome.value} {result.status or ''}".strip())
         self._look()
--- a/landingdeal/capture/sink.py
+++ b/landingdeal/capture/sink.py
@@ -67,10 +67,10 @@
 
     # --- from any thread ---
 
-    def passed(self, transport: str, source: Address, target: Address, message: Message) -> None:
+    def message_passed(self, transport: str, source: Address, target: Address, message: Message) -> None:
         self._put(Passed(now_ms(), transport, source, target, message))
 
-    def closed(self, source: Address, target: Address, reset: bool) -> None:
+    def connection_closed(self, source: Address, target: Address, reset: bool) -> None:
         self._put(Passed(now_ms(), "TCP", source, target, None, reset))
 
     def _put(self, passed: Passed) -> None:
--- a/landingdeal/operator.py
+++ b/landingdeal/operator.py
@@ -51,7 +51,7 @@
 
 def _with_sip(contracts: tuple[Contract, ...], sip: dict[str, Any], told: Any) -> Operator:
     from badgerstile.wire import WireError, read_settings
-    from landingdeal.sip.config import read_sip
+    from landingdeal.sip.config import read_sip_config
 
     try:
         settings = read_settings(json.dumps(told).encode())
@@ -62,4 +62,4 @@
         from landingdeal.capture.settings import read_capture
 
         capture = read_capture(sip["capture"])
-    return Operator(contracts, read_sip(sip, settings), settings, capture)
+    return Operator(contracts, read_sip_config(sip, settings), settings, capture)
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -18,7 +18,7 @@
 from landingdeal.operator import Operator, read_operator
 from landingdeal.service.life import run
 from landingdeal.service.signals import Signals
-from landingdeal.sip.capture import Capture
+from landingdeal.sip.capture import CapturePlayback
 from landingdeal.sip.front import SipFront
 
 SINK_MS = 2000.0  # for what waits to be written to a capture at the end
@@ -45,7 +45,7 @@
     told, listen = operator.capture or CaptureSettings(), (operator.sip.host, operator.sip.port)
     sink = Sink(told.write, told.bounds, told.compress) if told.write is not None else None
     front = SipFront(operator.sip, operator.settings, inbox, seed, life, sink)
-    capture = Capture(told.read, sink, listen) if told.read else None
+    capture = CapturePlayback(told.read, sink, listen) if told.read else None
     contracts = Contracts(operator.contracts)
     broker = Broker(operator.settings, seed, inbox, front, lambda call, cause: None, contracts, life)
     listed = tuple(Listed(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
--- a/landingdeal/sip/address.py
+++ b/landingdeal/sip/address.py
@@ -5,16 +5,16 @@
 from dataclasses import dataclass
 
 DEFAULT_PORT = 5060
-MAGIC = "z9hG4bK"
+MAGIC_COOKIE = "z9hG4bK"
 
 
-class BadAddress(ValueError):
+class AddressError(ValueError):
     """A URI or a header value that can't be used."""
 
 
-def split_top(text: str, mark: str) -> list[str]:
+def split_unquoted(text: str, separator: str) -> list[str]:
     """Splits at `mark`, but not inside quotes or angle brackets."""
-    parts, at, quoted, depth = [], 0, False, 0
+    parts, start, quoted, depth = [], 0, False, 0
     escaped = False
     for index, char in enumerate(text):
         if escaped:
@@ -25,38 +25,38 @@
             quoted = not quoted
         elif not quoted and char in "<>":
             depth += 1 if char == "<" else -1
-        elif char == mark and not quoted and depth == 0:
-            parts.append(text[at:index])
-            at = index + 1
-    return [*parts, text[at:]]
+        elif char == separator and not quoted and depth == 0:
+            parts.append(text[start:index])
+            start = index + 1
+    return [*parts, text[start:]]
 
 
-def params_of(parts: list[str]) -> dict[str, str]:
-    found = {}
-    for part in parts:
-        name, _, value = part.partition("=")
+def parse_params(raw_params: list[str]) -> dict[str, str]:
+    params = {}
+    for raw_param in raw_params:
+        name, _, value = raw_param.partition("=")
         if name.strip():
-            found[name.strip().lower()] = value.strip().strip('"')
-    return found
+            params[name.strip().lower()] = value.strip().strip('"')
+    return params
 
 
-def host_port(text: str) -> tuple[str, int]:
+def parse_host_port(text: str) -> tuple[str, int]:
     """`host`, `host:port` or `[v6]:port`; a port that is not named is the default."""
     if text.startswith("["):
         host, bracket, rest = text[1:].partition("]")
         if not bracket or rest and not rest.startswith(":"):
-            raise BadAddress(f"host {text!r}")
+            raise AddressError(f"host {text!r}")
         port = rest[1:]
     else:
         host, colon, port = text.partition(":")
         if colon and not port:
-            raise BadAddress(f"port in {text!r}")
-    if not host or any(c.isspace() for c in host):
-        raise BadAddress(f"host {text!r}")
+            raise AddressError(f"port in {text!r}")
+    if not host or any(char.isspace() for char in host):
+        raise AddressError(f"host {text!r}")
     if not port:
         return host, DEFAULT_PORT
     if not (port.isascii() and port.isdecimal() and 0 < int(port) < 65536):
-        raise BadAddress(f"port in {text!r}")
+        raise AddressError(f"port in {text!r}")
     return host, int(port)
 
 
@@ -66,19 +66,19 @@
     host: str
     port: int
     transport: str
-    loose: bool
+    loose_routing: bool
 
 
 def parse_uri(text: str) -> Uri:
     scheme, colon, rest = text.partition(":")
     if not colon or scheme.lower() != "sip":
-        raise BadAddress(f"scheme of {text!r}")
+        raise AddressError(f"scheme of {text!r}")
     rest = rest.partition("?")[0]
-    main, *parts = rest.split(";")
-    user, at, where = main.rpartition("@")
-    host, port = host_port(where)
-    given = params_of(parts)
-    return Uri(user if at else "", host, port, given.get("transport", "").lower(), "lr" in given)
+    address, *raw_params = rest.split(";")
+    user, at_sign, host_port = address.rpartition("@")
+    host, port = parse_host_port(host_port)
+    params = parse_params(raw_params)
+    return Uri(user if at_sign else "", host, port, params.get("transport", "").lower(), "lr" in params)
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,14 +94,14 @@
 
 
 def parse_name_addr(text: str) -> NameAddr:
-    main, *parts = split_top(text, ";")
-    _, bracket, rest = main.partition("<")
+    address, *raw_params = split_unquoted(text, ";")
+    _, bracket, rest = address.partition("<")
     if not bracket:
-        return NameAddr(main.strip(), params_of(parts))
+        return NameAddr(address.strip(), parse_params(raw_params))
     uri, closed, _ = rest.partition(">")
     if not closed or not uri:
-        raise BadAddress(f"address {text!r}")
-    return NameAddr(uri.strip(), params_of(parts))
+        raise AddressError(f"address {text!r}")
+    return NameAddr(uri.strip(), parse_params(raw_params))
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,15 +117,15 @@
 
 
 def parse_via(text: str) -> Via:
-    main, *parts = split_top(text, ";")
-    words = main.split()
+    sent_by, *raw_params = split_unquoted(text, ";")
+    words = sent_by.split()
     if len(words) != 2 or not words[0].upper().startswith("SIP/2.0/"):
-        raise BadAddress(f"Via {text!r}")
-    host, port = host_port(words[1])
-    return Via(words[0][8:].upper(), host, port, params_of(parts))
+        raise AddressError(f"Via {text!r}")
+    host, port = parse_host_port(words[1])
+    return Via(words[0][8:].upper(), host, port, parse_params(raw_params))
 
 
 def top_via(values: list[str]) -> Via:
     if not values:
-        raise BadAddress("no Via")
-    return parse_via(split_top(values[0], ",")[0])
+        raise AddressError("no Via")
+    return parse_via(split_unquoted(values[0], ",")[0])
--- a/landingdeal/sip/capture.py
+++ b/landingdeal/sip/capture.py
@@ -14,67 +14,77 @@
 from landingdeal.errors import ConfigError
 from landingdeal.log import say
 from landingdeal.sip.message import Message
-from landingdeal.sip.transport import Received, Tap
+from landingdeal.sip.transport import ReceivedMessage, Tap
 
-FLOWS_MOST = 4096
+MAX_FLOWS = 4096
 
 
-class CaptureFlow:
+class PlaybackFlow:
     """Stands for one caller of a capture. It loses nothing, so nothing need be sent to it twice."""
 
     alive = True
-    was_up = True
+    was_connected = True
     reliable = True
 
-    def __init__(self, tap: Tap | None, kind: str, local: tuple[str, int], remote: tuple[str, int]) -> None:
-        self.tap, self.kind, self.local, self.remote = tap, kind, local, remote
+    def __init__(
+        self, tap: Tap | None, transport: str, local: tuple[str, int], remote: tuple[str, int]
+    ) -> None:
+        self.tap, self.transport, self.local, self.remote = tap, transport, local, remote
 
     def send(self, message: Message) -> None:
         if self.tap is not None:
-            self.tap.passed(self.kind, self.local, self.remote, message)
+            self.tap.message_passed(self.transport, self.local, self.remote, message)
 
 
-class Capture:
+class CapturePlayback:
     """Plays the arrivals of captures for our port. Raises ConfigError or OSError where there is none."""
 
     def __init__(self, paths: Sequence[str], tap: Tap | None, listen: tuple[str, int]) -> None:
         self.reading, self.tap, self.port = Reading(), tap, listen[1]
         self.messages = read(paths, self.reading)
-        self.first = next(self.messages, None)
-        if self.first is None:
+        self.first_message = next(self.messages, None)
+        if self.first_message is None:
             kept = self.reading.problems.kept
             raise ConfigError(f"nothing to play: {kept[0].line() if kept else 'no message in it'}")
 
-    def play(self, on_received: Callable[[Received], None]) -> None:
+    def play(self, on_received: Callable[[ReceivedMessage], None]) -> None:
         """In a thread of its own. Ends with a line that says what was taken up and what was not."""
-        flows: dict[object, CaptureFlow] = {}
-        first, began_ms, taken, elsewhere = self.first, now_ms(), 0, 0
-        assert first is not None
-        for seen in self._all():
-            if seen.target[1] != self.port:
-                elsewhere += 1
+        flows: dict[object, PlaybackFlow] = {}
+        first_message, started_ms, played, to_other_port = self.first_message, now_ms(), 0, 0
+        assert first_message is not None
+        for captured in self._all_messages():
+            if captured.target[1] != self.port:
+                to_other_port += 1
                 continue
-            time.sleep(seconds_until(began_ms + (seen.time_ns - first.time_ns) / 1e6))
-            key = seen.transport, seen.source, seen.target
+            time.sleep(seconds_until(started_ms + (captured.time_ns - first_message.time_ns) / 1e6))
+            key = captured.transport, captured.source, captured.target
             flow = flows.get(key)
             if flow is None:
-                flow = flows[key] = CaptureFlow(self.tap, seen.transport, seen.target, seen.source)
-                while len(flows) > FLOWS_MOST:  # guards the memory against a capture of very many
+                flow = flows[key] = PlaybackFlow(
+                    self.tap, captured.transport, captured.target, captured.source
+                )
+                while len(flows) > MAX_FLOWS:  # guards the memory against a capture of very many
                     del flows[next(iter(flows))]
             if self.tap is not None:
-                self.tap.passed(seen.transport, seen.source, seen.target, seen.message)
-            taken += 1
-            on_received(Received(seen.message, *seen.source, flow))
-        told = {kind.value: count for kind, count in self.reading.problems.counts.items()}
-        if elsewhere:
-            told["to another port"] = elsewhere
-        rest = ", ".join(f"{count} {what}" for what, count in sorted(told.items())) or "nothing"
-        say(f"capture: {taken} messages taken up; passed over: {rest}")
-
-    def _all(self) -> Iterator[Seen]:
-        if self.first is not None:
-            yield self.first
+                self.tap.message_passed(
+                    captured.transport, captured.source, captured.target, captured.message
+                )
+            played += 1
+            on_received(ReceivedMessage(captured.message, *captured.source, flow))
+        skipped_counts = {
+            problem_kind.value: count for problem_kind, count in self.reading.problems.counts.items()
+        }
+        if to_other_port:
+            skipped_counts["to another port"] = to_other_port
+        skipped = (
+            ", ".join(f"{count} {reason}" for reason, count in sorted(skipped_counts.items())) or "nothing"
+        )
+        say(f"capture: {played} messages taken up; passed over: {skipped}")
+
+    def _all_messages(self) -> Iterator[Seen]:
+        if self.first_message is not None:
+            yield self.first_message
         yield from self.messages
 
 
-__all__ = ["Capture", "CaptureFlow"]
+__all__ = ["CapturePlayback", "PlaybackFlow"]
--- a/landingdeal/sip/config.py
+++ b/landingdeal/sip/config.py
@@ -7,31 +7,33 @@
 
 from badgerstile.interface import Settings
 from landingdeal.errors import ConfigError, address
-from landingdeal.sip.call import HubPlace, SipConfig
+from landingdeal.sip.call import HubConfig, SipConfig
 from landingdeal.sip.transaction import Timing
 
 
-def ip_address(text: Any, what: str) -> tuple[str, int]:
+def parse_ip_address(text: Any, setting: str) -> tuple[str, int]:
     """No name: nothing here may wait for a look-up."""
-    host, port = address(text, what)
+    host, port = address(text, setting)
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
-        raise ConfigError(f"{what} is not an IPv4 address: {text!r}") from None
+        raise ConfigError(f"{setting} is not an IPv4 address: {text!r}") from None
     return host, port
 
 
-def read_sip(sip: dict[str, Any], settings: Settings) -> SipConfig:
-    host, port = ip_address(sip["listen"], "sip.listen")
+def read_sip_config(sip: dict[str, Any], settings: Settings) -> SipConfig:
+    host, port = parse_ip_address(sip["listen"], "sip.listen")
     hubs = []
     for row in sip["hub"]:
         transport = str(row.get("transport", "udp")).upper()
         if transport not in ("UDP", "TCP"):
             raise ConfigError(f"sip.hub {row['name']}: transport is udp or tcp, not {transport.lower()}")
-        where = ip_address(row["address"], f"sip.hub {row['name']}")
+        host_and_port = parse_ip_address(row["address"], f"sip.hub {row['name']}")
         name = str(row["name"]).encode()
         hubs.append(
-            HubPlace(name, int(row["number"]), transport, *where, circuits=int(row.get("circuits", 0)))
+            HubConfig(
+                name, int(row["number"]), transport, *host_and_port, circuits=int(row.get("circuits", 0))
+            )
         )
     if not hubs or len({hub.name for hub in hubs}) < len(hubs):
         raise ConfigError("sip.hub: lab hubs are named once each, and there is one at least")
@@ -40,12 +42,12 @@
     for prefix, number in routes:
         if number not in numbers:
             raise ConfigError(f"sip.route {prefix!r} leads to {number}, which no lab hub has")
-    names = [kind.name for kind in settings.classes]
-    default = str(sip.get("default_class", names[0]))
-    if default not in names:
-        raise ConfigError(f"sip.default_class {default!r} is in no class of the settings")
-    t1 = float(sip.get("t1_ms", 500.0))
-    if not 1 <= t1 <= 10000:
+    class_names = [call_class.name for call_class in settings.classes]
+    default_class = str(sip.get("default_class", class_names[0]))
+    if default_class not in class_names:
+        raise ConfigError(f"sip.default_class {default_class!r} is in no class of the settings")
+    t1_ms = float(sip.get("t1_ms", 500.0))
+    if not 1 <= t1_ms <= 10000:
         raise ConfigError("sip.t1_ms is from 1 to 10000")
     longest_first = tuple(sorted(routes, key=lambda route: -len(route[0])))
-    return SipConfig(host, port, Timing(t1), tuple(hubs), longest_first, default)
+    return SipConfig(host, port, Timing(t1_ms), tuple(hubs), longest_first, default_class)
--- a/landingdeal/sip/dialog.py
+++ b/landingdeal/sip/dialog.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri, split_top
+from landingdeal.sip.address import AddressError, parse_name_addr, parse_uri, split_unquoted
 from landingdeal.sip.message import Message, request
 from landingdeal.sip.transaction import Flow
 
@@ -10,54 +10,69 @@
 class Dialog:
     """One leg of a call; `client` where we sent the INVITE that made it."""
 
-    def __init__(self, invite: Message, final: Message, flow: Flow, client: bool) -> None:
+    def __init__(self, invite: Message, final_response: Message, flow: Flow, is_uac: bool) -> None:
         self.flow = flow
         self.call_id = invite.call_id
-        mine, theirs = ("from", "to") if client else ("to", "from")
-        self.local, self.remote = final.get(mine), final.get(theirs)
-        self.local_tag = parse_name_addr(self.local).tag
-        self.remote_tag = parse_name_addr(self.remote).tag
-        other = final if client else invite
-        self.target = contact_of(other) or (invite.uri if client else parse_name_addr(self.remote).uri)
-        routes = [part.strip() for value in other.get_all("record-route") for part in split_top(value, ",")]
-        self.routes = routes[::-1] if client else routes
-        self.seq = invite.cseq[0] if client else 0
-        self.remote_seq = -1 if client else invite.cseq[0]
-        self.invite_seq = invite.cseq[0]
-        self.over = False
+        local_name, remote_name = ("from", "to") if is_uac else ("to", "from")
+        self.local_address, self.remote_address = (
+            final_response.get(local_name),
+            final_response.get(remote_name),
+        )
+        self.local_tag = parse_name_addr(self.local_address).tag
+        self.remote_tag = parse_name_addr(self.remote_address).tag
+        peer_message = final_response if is_uac else invite
+        self.remote_target = contact_uri(peer_message) or (
+            invite.uri if is_uac else parse_name_addr(self.remote_address).uri
+        )
+        route_set = [
+            part.strip()
+            for value in peer_message.get_all("record-route")
+            for part in split_unquoted(value, ",")
+        ]
+        self.route_set = route_set[::-1] if is_uac else route_set
+        self.sequence_number = invite.cseq[0] if is_uac else 0
+        self.remote_sequence_number = -1 if is_uac else invite.cseq[0]
+        self.invite_sequence_number = invite.cseq[0]
+        self.terminated = False
 
     @property
     def key(self) -> tuple[str, str, str]:
         return self.call_id, self.local_tag, self.remote_tag
 
-    def make(
-        self, method: str, via: str, *more: tuple[str, str], seq: int | None = None, body: bytes = b""
+    def make_request(
+        self,
+        method: str,
+        via: str,
+        *extra_headers: tuple[str, str],
+        sequence_number: int | None = None,
+        body: bytes = b"",
     ) -> Message:
         """A request within the dialog; an ACK repeats the number of its INVITE."""
-        if seq is None:
-            self.seq = seq = self.seq + 1
-        routes = [("route", route) for route in self.routes]
+        if sequence_number is None:
+            self.sequence_number = sequence_number = self.sequence_number + 1
+        route_set = [("route", route) for route in self.route_set]
         return request(
-            method, self.target, ("via", via), ("max-forwards", "70"), *routes, ("from", self.local),
-            ("to", self.remote), ("call-id", self.call_id), ("cseq", f"{seq} {method}"), *more, body=body,
+            method, self.remote_target, ("via", via), ("max-forwards", "70"), *route_set,
+            ("from", self.local_address), ("to", self.remote_address), ("call-id", self.call_id),
+            ("cseq", f"{sequence_number} {method}"), *extra_headers, body=body,
         )  # fmt: skip
 
     def next_hop(self) -> str:
-        return parse_name_addr(self.routes[0]).uri if self.routes else self.target
+        return parse_name_addr(self.route_set[0]).uri if self.route_set else self.remote_target
 
-    def refreshed(self, message: Message) -> None:
+    def refresh_remote_target(self, message: Message) -> None:
         """A re-INVITE, or its 2xx, may move the remote target (12.2)."""
-        self.target = contact_of(message) or self.target
+        self.remote_target = contact_uri(message) or self.remote_target
 
 
-def contact_of(message: Message) -> str:
+def contact_uri(message: Message) -> str:
     """The URI of Contact, or nothing where there is none that can be used."""
     value = message.get("contact")
     if not value:
         return ""
     try:
-        uri = parse_name_addr(split_top(value, ",")[0]).uri
+        uri = parse_name_addr(split_unquoted(value, ",")[0]).uri
         parse_uri(uri)
-    except BadAddress:
+    except AddressError:
         return ""
     return uri
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -25,557 +25,673 @@
 )
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import say
-from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
-from landingdeal.sip.call import Call, HubPlace, Leg, Side, SipCaller, SipConfig
-from landingdeal.sip.capture import Capture, CaptureFlow
+from landingdeal.sip.address import AddressError, parse_name_addr, parse_uri
+from landingdeal.sip.call import DialogSide, HubConfig, HubLeg, SipCall, SipCaller, SipConfig
+from landingdeal.sip.capture import CapturePlayback, PlaybackFlow
 from landingdeal.sip.dialog import Dialog
-from landingdeal.sip.endpoint import Endpoint, ReplyFlow
+from landingdeal.sip.endpoint import ResponseFlow, TransactionLayer
 from landingdeal.sip.headers import ALLOW_HEADER, load_values, reason_header, rejection_reason, release_cause
 from landingdeal.sip.message import Message, request, response
 from landingdeal.sip.transaction import (
     Flow,
     ServerTransaction,
-    State,
-    within,
+    TransactionState,
+    request_in_transaction,
 )
 from landingdeal.sip.transport import Tap
 from landingdeal.threads import start_thread
 
-CALLS_MOST = 4000
-STATUS = {Why.BUSY: 486, Why.TIMED_OUT: 408, Why.FAILED: 500, Why.FORBIDDEN: 403}
-ENDINGS = {
+MAX_CALLS = 4000
+STATUS_BY_REFUSAL_REASON = {Why.BUSY: 486, Why.TIMED_OUT: 408, Why.FAILED: 500, Why.FORBIDDEN: 403}
+OUTCOMES_BY_STATUS = {
     408: Ending.TIMED_OUT, 480: Ending.TURNED_BACK, 487: Ending.CANCELLED, 503: Ending.TURNED_BACK,
     504: Ending.CUT,
 }  # fmt: skip
-BUSY = (486, 600)
+BUSY_STATUSES = (486, 600)
 
 
-def content(message: Message) -> list[tuple[str, str]]:
+def content_type_headers(message: Message) -> list[tuple[str, str]]:
     """The type of a body that is passed on unchanged."""
     return [("content-type", message.get("content-type", "application/sdp"))] if message.body else []
 
 
-class SipFront(Endpoint):
+class SipFront(TransactionLayer):
     def __init__(
         self,
         config: SipConfig,
         settings: Settings,
         inbox: Inbox,
         seed: int,
-        life: Lifecycle | None = None,
+        lifecycle: Lifecycle | None = None,
         tap: Tap | None = None,
     ) -> None:
-        super().__init__(config, seed, life or Lifecycle(), tap)
-        self.released = self.releasing = False
-        self.set, self.inbox = settings, inbox
+        super().__init__(config, seed, lifecycle or Lifecycle(), tap)
+        self.all_released = self.release_started = False
+        self.settings, self.inbox = settings, inbox
         self.hubs = {hub.name: hub for hub in config.hubs}
-        self.used = {hub.name: 0 for hub in config.hubs}
-        self.calls: dict[str, Call] = {}
-        self.merged: set[tuple[str, str, int]] = set()
-        self.early: dict[str, Call] = {}  # by the branch key of the INVITE
-        self.dialogs: dict[tuple[str, str, str], Side] = {}
+        self.used_circuits = {hub.name: 0 for hub in config.hubs}
+        self.calls: dict[str, SipCall] = {}
+        self.merge_keys: set[tuple[str, str, int]] = set()
+        self.early_calls: dict[str, SipCall] = {}  # by the branch key of the INVITE
+        self.dialog_sides: dict[tuple[str, str, str], DialogSide] = {}
 
-    def start(self, capture: Capture | None = None) -> None:
+    def start(self, capture: CapturePlayback | None = None) -> None:
         """With a capture, callers' messages also come from there."""
-        self.loop.start()
-        self.transports.start()
+        self.event_loop.start()
+        self.transport_layer.start()
         if capture is not None:
-            start_thread("capture", lambda: capture.play(self.received))
+            start_thread("capture", lambda: capture.play(self.message_received))
         for hub in self.config.hubs:
-            self._count(hub, 0)
+            self._change_used_circuits(hub, 0)
 
-    def server_over(self, key: str) -> None:
-        call = self.early.pop(key, None)
+    def server_transaction_terminated(self, key: str) -> None:
+        call = self.early_calls.pop(key, None)
         if call is not None and call.caller_side is None:
-            self._forget(call)
+            self._forget_if_ended(call)
 
     # --- from other threads ---
 
     def set_up(self, attempt: Attempt) -> None:
-        self.loop.post(lambda: self._set_up(attempt))
+        self.event_loop.post(lambda: self._send_invite(attempt))
 
     def cancel(self, attempt: Attempt) -> bool:
-        self.loop.post(lambda: self._cancel(attempt))
+        self.event_loop.post(lambda: self._cancel_attempt(attempt))
         return False  # a transaction times out by itself, whichever its connection
 
     def release(self, hub: bytes, call: str) -> None:
-        self.loop.post(lambda: self._release_hub(hub, call))
+        self.event_loop.post(lambda: self._release_hub(hub, call))
 
     def probe(self, hub: bytes, deadline_ms: float) -> None:
-        self.loop.post(lambda: self._probe(hub, deadline_ms))
+        self.event_loop.post(lambda: self._send_probe(hub, deadline_ms))
 
     def flush(self) -> int:
         """After the core has ended: no call outlives the program. How much is still awaited."""
-        if not self.releasing:
-            self.releasing = True
-            self.loop.post(self._release_all)
-        if not self.released:
+        if not self.release_started:
+            self.release_started = True
+            self.event_loop.post(self._release_all)
+        if not self.all_released:
             return 1
-        busy = (State.CALLING, State.PROCEEDING)
-        waiting = sum(t.state in busy for t in list(self.clients.values()))
-        unacked = sum(side.unacked >= 0 for side in list(self.dialogs.values()))
-        return waiting + unacked + self.transports.unsent()
+        awaiting_states = (TransactionState.CALLING, TransactionState.PROCEEDING)
+        pending_requests = sum(
+            transaction.state in awaiting_states for transaction in list(self.client_transactions.values())
+        )
+        unacknowledged = sum(side.unacknowledged >= 0 for side in list(self.dialog_sides.values()))
+        return pending_requests + unacknowledged + self.transport_layer.unsent()
 
-    def new_request(self, transaction: ServerTransaction, key: str, to_tag: str, flow: Flow) -> None:
+    def new_request(self, transaction: ServerTransaction, branch_key: str, to_tag: str, flow: Flow) -> None:
         message = transaction.request
         required = message.get("require")
         if message.method not in ("INVITE", "CANCEL", "BYE", "OPTIONS"):
-            transaction.respond(self._reply(message, 405, ALLOW_HEADER))
+            transaction.respond(self._make_response(message, 405, ALLOW_HEADER))
         elif required and message.method != "CANCEL":
-            transaction.respond(self._reply(message, 420, ("unsupported", required)))
+            transaction.respond(self._make_response(message, 420, ("unsupported", required)))
         elif message.method == "CANCEL":
-            self._cancelled(transaction, key)
+            self._handle_cancel(transaction, branch_key)
         elif to_tag:
-            self._within(transaction, to_tag, flow)
+            self._handle_in_dialog_request(transaction, to_tag, flow)
         elif message.method == "OPTIONS":
-            transaction.respond(self._reply(message, 200, ALLOW_HEADER, ("accept", "application/sdp")))
+            transaction.respond(
+                self._make_response(message, 200, ALLOW_HEADER, ("accept", "application/sdp"))
+            )
         elif message.method == "BYE":
-            transaction.respond(self._reply(message, 481))
+            transaction.respond(self._make_response(message, 481))
         else:
-            self._invite(transaction, flow)
+            self._handle_invite(transaction, flow)
 
     # --- a call comes in ---
 
-    def _invite(self, transaction: ServerTransaction, flow: Flow) -> None:
+    def _handle_invite(self, transaction: ServerTransaction, flow: Flow) -> None:
         message = transaction.request
         try:
             user = parse_uri(message.uri).user
-        except BadAddress:
+        except AddressError:
             status = 400 if message.uri.lower().startswith("sip:") else 416
-            transaction.respond(self._reply(message, status))
+            transaction.respond(self._make_response(message, status))
             return
-        call = Call(self._tag() + self._tag(), transaction, self._tag())
-        if call.merged_key in self.merged:  # the same call by another way (8.2.2.2)
-            transaction.respond(self._reply(message, 482))
+        call = SipCall(self._new_tag() + self._new_tag(), transaction, self._new_tag())
+        if call.merge_key in self.merge_keys:  # the same call by another way (8.2.2.2)
+            transaction.respond(self._make_response(message, 482))
             return
-        number = next((n for prefix, n in self.config.routes if user.startswith(prefix)), None)
-        if number is None:
-            transaction.respond(self._reply(message, 404))
+        hub_number = next(
+            (route_target for prefix, route_target in self.config.routes if user.startswith(prefix)), None
+        )
+        if hub_number is None:
+            transaction.respond(self._make_response(message, 404))
             return
         if message.get("max-forwards", "70").strip() == "0":
-            transaction.respond(self._reply(message, 483))
+            transaction.respond(self._make_response(message, 483))
             return
         try:
-            patience = self._patience(message)
+            patience_ms = self._patience_ms(message)
         except ValueError:
-            transaction.respond(self._reply(message, 400))
+            transaction.respond(self._make_response(message, 400))
             return
         transaction.respond(response(message, 100))
         call.caller = SipCaller(self, call)
         offer = Offer(
             call=call.key,
             uri=message.uri,
-            class_name=self._class_of(message),
-            destination=number,
-            deadline_ms=self.now() + patience,
+            class_name=self._class_name(message),
+            destination=hub_number,
+            deadline_ms=self.now() + patience_ms,
             description=message.body,
             caller=call.caller,
             key=int.from_bytes(hashlib.blake2b(user.encode(), digest_size=8).digest(), "big"),
             team=message.get("organization"),
         )
-        if len(self.calls) >= CALLS_MOST or not self.inbox.offer(offer):
-            transaction.respond(self._reply(message, 503, ("retry-after", "2"), tag=call.tag))
+        if len(self.calls) >= MAX_CALLS or not self.inbox.offer(offer):
+            transaction.respond(
+                self._make_response(message, 503, ("retry-after", "2"), local_tag=call.local_tag)
+            )
             return
-        self.calls[call.key] = self.early[transaction.key] = call
-        self.merged.add(call.merged_key)
+        self.calls[call.key] = self.early_calls[transaction.key] = call
+        self.merge_keys.add(call.merge_key)
 
-    def _class_of(self, message: Message) -> str:
+    def _class_name(self, message: Message) -> str:
         """Subject is free text in SIP: it names a class, or the default counts."""
-        named = message.get("subject")
-        return named if any(kind.name == named for kind in self.set.classes) else self.config.default_class
+        subject = message.get("subject")
+        return (
+            subject
+            if any(call_class.name == subject for call_class in self.settings.classes)
+            else self.config.default_class
+        )
 
-    def _patience(self, message: Message) -> float:
+    def _patience_ms(self, message: Message) -> float:
         """How long the caller waits: X-Patience in ms, or Expires in s, within what the class allows."""
-        most = next(c.deadline_ms for c in self.set.classes if c.name == self._class_of(message))
-        given = message.get("x-patience") or None
-        seconds = message.get("expires") or None
-        wanted = float(given) if given else float(seconds) * 1000 if seconds else most
-        if not 0 < wanted < 1e12:
+        max_patience_ms = next(
+            call_class.deadline_ms
+            for call_class in self.settings.classes
+            if call_class.name == self._class_name(message)
+        )
+        patience_value = message.get("x-patience") or None
+        expires_value = message.get("expires") or None
+        patience_ms = (
+            float(patience_value)
+            if patience_value
+            else float(expires_value) * 1000
+            if expires_value
+            else max_patience_ms
+        )
+        if not 0 < patience_ms < 1e12:
             raise ValueError("patience")
-        return min(wanted, most)
+        return min(patience_ms, max_patience_ms)
 
-    def _cancelled(self, transaction: ServerTransaction, key: str) -> None:
-        invite = self.servers.get(f"{key}|INVITE")
+    def _handle_cancel(self, transaction: ServerTransaction, branch_key: str) -> None:
+        invite = self.server_transactions.get(f"{branch_key}|INVITE")
         if invite is None:
-            transaction.respond(self._reply(transaction.request, 481))
+            transaction.respond(self._make_response(transaction.request, 481))
             return
-        call = self.early.get(invite.key)
-        transaction.respond(self._reply(transaction.request, 200, tag=call.tag if call else ""))
-        if call is not None and not invite.answered:
-            self._withdraw(call)
-        elif call is None and not invite.answered:
+        call = self.early_calls.get(invite.key)
+        transaction.respond(
+            self._make_response(transaction.request, 200, local_tag=call.local_tag if call else "")
+        )
+        if call is not None and not invite.final_response_sent:
+            self._abandon_call(call)
+        elif call is None and not invite.final_response_sent:
             self._cancel_reinvite(invite)
 
-    def _withdraw(self, call: Call) -> None:
-        call.server.respond(self._reply(call.server.request, 487, tag=call.tag))
+    def _abandon_call(self, call: SipCall) -> None:
+        call.invite_transaction.respond(
+            self._make_response(call.invite_transaction.request, 487, local_tag=call.local_tag)
+        )
         self.inbox.tell(Withdrawn(call.key, call.caller))
 
-    def new_ack(self, message: Message, key: str, flow: Flow) -> None:
-        invite = self.servers.get(f"{key}|INVITE")
-        if invite is not None and invite.state in (State.COMPLETED, State.CONFIRMED):
-            invite.acknowledged()
+    def new_ack(self, message: Message, branch_key: str, flow: Flow) -> None:
+        invite = self.server_transactions.get(f"{branch_key}|INVITE")
+        if invite is not None and invite.state in (TransactionState.COMPLETED, TransactionState.CONFIRMED):
+            invite.ack_received()
             return
-        side = self._side(message, flow)
-        if side is None or side.unacked != message.cseq[0]:
+        side = self._find_side(message, flow)
+        if side is None or side.unacknowledged != message.cseq[0]:
             return  # a stray ACK gets no answer
-        side.unacked = -1
-        other = side.other
-        if other is not None and other.ack is None:  # the offer was in the 2xx, the answer is in this ACK
-            self._acknowledge(other, message)
-        if side.bye_cause >= 0:
-            self._bye(side, side.bye_cause)
+        side.unacknowledged = -1
+        peer_side = side.peer_side
+        if (
+            peer_side is not None and peer_side.last_ack is None
+        ):  # the offer was in the 2xx, the answer is in this ACK
+            self._send_ack(peer_side, message)
+        if side.deferred_bye_cause >= 0:
+            self._send_bye(side, side.deferred_bye_cause)
 
     # --- what the core says of a caller ---
 
-    def answer_call(self, call: Call, description: bytes) -> None:
-        invite, hub_side = call.server.request, call.hub_side
-        if call.server.answered or call.key not in self.calls:
+    def answer_call(self, call: SipCall, description: bytes) -> None:
+        invite, hub_side = call.invite_transaction.request, call.hub_side
+        if call.invite_transaction.final_response_sent or call.key not in self.calls:
             self.inbox.tell(CallerReleased(call.key))  # it crossed a CANCEL: what stands is released
             return
-        kind = ("content-type", call.answer_kind)
-        flow = call.server.flow
-        final = self._reply(
-            invite, 200, self._contact(flow), ALLOW_HEADER, *([kind] if description else []),
-            *[("record-route", v) for v in invite.get_all("record-route")], tag=call.tag, body=description,
+        content_type = ("content-type", call.answer_content_type)
+        flow = call.invite_transaction.flow
+        final_response = self._make_response(
+            invite, 200, self._contact_header(flow), ALLOW_HEADER, *([content_type] if description else []),
+            *[("record-route", value) for value in invite.get_all("record-route")],
+            local_tag=call.local_tag, body=description,
         )  # fmt: skip
-        first = flow.first if isinstance(flow, ReplyFlow) else flow
-        side = call.caller_side = Side(call, Dialog(invite, final, first, client=False), caller=True)
-        self.dialogs[side.dialog.key] = side
-        self._stand(side, call.server, final)
-        if hub_side is None or hub_side.dialog.over:  # its lab hub has released it already
-            self._bye(side, CAUSE_CUT)
-
-    def _stand(self, side: Side, transaction: ServerTransaction, final: Message) -> None:
+        request_flow = flow.request_flow if isinstance(flow, ResponseFlow) else flow
+        side = call.caller_side = DialogSide(
+            call, Dialog(invite, final_response, request_flow, is_uac=False), is_caller=True
+        )
+        self.dialog_sides[side.dialog.key] = side
+        self._send_2xx(side, call.invite_transaction, final_response)
+        if hub_side is None or hub_side.dialog.terminated:  # its lab hub has released it already
+            self._send_bye(side, CAUSE_CUT)
+
+    def _send_2xx(self, side: DialogSide, transaction: ServerTransaction, final_response: Message) -> None:
         """Sends a 2xx, and again until its ACK comes (13.3.1.4), on any transport."""
-        number = transaction.request.cseq[0]
-        side.unacked = number
-        transaction.respond(final)
+        sequence_number = transaction.request.cseq[0]
+        side.unacknowledged = sequence_number
+        transaction.respond(final_response)
 
-        def again(span: float) -> None:
-            def due() -> None:
-                if side.unacked == number and not side.dialog.over:
-                    transaction.flow.send(final)
-                    again(min(2 * span, self.timing.t2))
+        def schedule_retransmit(interval: float) -> None:
+            def on_timer() -> None:
+                if side.unacknowledged == sequence_number and not side.dialog.terminated:
+                    transaction.flow.send(final_response)
+                    schedule_retransmit(min(2 * interval, self.timing.t2))
 
-            self.at(self.now() + span, due)
+            self.schedule_at(self.now() + interval, on_timer)
 
-        def lost() -> None:
-            if side.unacked == number and not side.dialog.over:
-                side.unacked = -1
+        def on_ack_timeout() -> None:
+            if side.unacknowledged == sequence_number and not side.dialog.terminated:
+                side.unacknowledged = -1
                 say(f"call {side.call.key}: a 2xx was never acknowledged")
-                self._drop_call(side.call, CAUSE_CUT, None)
+                self._end_call(side.call, CAUSE_CUT, None)
 
-        again(self.timing.t1)
-        self.at(self.now() + self.timing.b, lost)
+        schedule_retransmit(self.timing.t1)
+        self.schedule_at(self.now() + self.timing.transaction_timeout, on_ack_timeout)
 
-    def refuse_call(self, call: Call, come_back_ms: float, why: Why) -> None:
-        later = []
-        if come_back_ms > 0:
-            later = [
-                ("retry-after", str(math.ceil(come_back_ms / 1000))),
-                ("x-later-ms", str(int(come_back_ms))),
+    def refuse_call(self, call: SipCall, retry_after_ms: float, why: Why) -> None:
+        retry_headers = []
+        if retry_after_ms > 0:
+            retry_headers = [
+                ("retry-after", str(math.ceil(retry_after_ms / 1000))),
+                ("x-later-ms", str(int(retry_after_ms))),
             ]
-        call.server.respond(self._reply(call.server.request, STATUS.get(why, 503), *later, tag=call.tag))
+        call.invite_transaction.respond(
+            self._make_response(
+                call.invite_transaction.request,
+                STATUS_BY_REFUSAL_REASON.get(why, 503),
+                *retry_headers,
+                local_tag=call.local_tag,
+            )
+        )
 
-    def release_caller(self, call: Call, cause: int) -> None:
+    def release_caller(self, call: SipCall, cause: int) -> None:
         if call.caller_side is not None:
-            self._bye(call.caller_side, cause)
+            self._send_bye(call.caller_side, cause)
 
     # --- attempts ---
 
-    def _set_up(self, attempt: Attempt) -> None:
+    def _send_invite(self, attempt: Attempt) -> None:
         hub, call = self.hubs.get(attempt.hub), self.calls.get(attempt.offer.call)
         if hub is None or call is None:
             self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
             return
-        left = attempt.deadline_ms - self.now()
-        if left <= 0:
+        remaining_ms = attempt.deadline_ms - self.now()
+        if remaining_ms <= 0:
             return  # the core's own timer tells of its end
-        leg = call.legs[attempt.number] = Leg(call, attempt, hub)
-        flow = self.transports.to(hub.transport, hub.host, hub.port, attempt.deadline_ms)
-        invite = call.server.request
+        leg = call.legs[attempt.number] = HubLeg(call, attempt, hub)
+        flow = self.transport_layer.flow_to(hub.transport, hub.host, hub.port, attempt.deadline_ms)
+        invite = call.invite_transaction.request
         user = parse_uri(invite.uri).user
-        hops = max(int(invite.get("max-forwards", "70")) - 1, 0)
-        made = request(
-            "INVITE", f"sip:{user}@{hub.host}:{hub.port}", ("via", self._via(flow)),
-            ("max-forwards", str(hops)),
-            ("from", f"<sip:landingdeal@{self.config.host}:{self.config.port}>;tag={self._tag()}"),
+        max_forwards = max(int(invite.get("max-forwards", "70")) - 1, 0)
+        invite_to_hub = request(
+            "INVITE", f"sip:{user}@{hub.host}:{hub.port}", ("via", self._new_via(flow)),
+            ("max-forwards", str(max_forwards)),
+            ("from", f"<sip:landingdeal@{self.config.host}:{self.config.port}>;tag={self._new_tag()}"),
             ("to", f"<sip:{user}@{hub.host}:{hub.port}>"), ("call-id", f"{call.key}-{attempt.number}"),
-            ("cseq", "1 INVITE"), self._contact(flow), ALLOW_HEADER, ("subject", attempt.offer.class_name),
-            ("x-patience", str(int(left))), ("expires", str(math.ceil(left / 1000))), *content(invite),
+            ("cseq", "1 INVITE"), self._contact_header(flow), ALLOW_HEADER,
+            ("subject", attempt.offer.class_name), ("x-patience", str(int(remaining_ms))),
+            ("expires", str(math.ceil(remaining_ms / 1000))), *content_type_headers(invite),
             body=invite.body,
         )  # fmt: skip
-        leg.transaction = self._client(flow, made, lambda message: self._answered(leg, message))
-        leg.counted = True
-        self._count(hub, 1)
+        leg.transaction = self._start_client_transaction(
+            flow, invite_to_hub, lambda message: self._handle_invite_response(leg, message)
+        )
+        leg.occupies_circuit = True
+        self._change_used_circuits(hub, 1)
 
-    def _answered(self, leg: Leg, message: Message) -> None:
+    def _handle_invite_response(self, leg: HubLeg, message: Message) -> None:
         call = leg.call
         if message.status < 200:
-            if not leg.provisional and leg.cancelled:
+            if not leg.provisional_received and leg.cancelled:
                 self._send_cancel(leg)
-            leg.provisional = True
-            if message.status > 100 and not leg.cancelled and not call.server.answered:
+            leg.provisional_received = True
+            if message.status > 100 and not leg.cancelled and not call.invite_transaction.final_response_sent:
                 status = message.status if message.status in (180, 181, 182, 183) else 183
-                call.server.respond(self._reply(call.server.request, status, tag=call.tag))
+                call.invite_transaction.respond(
+                    self._make_response(call.invite_transaction.request, status, local_tag=call.local_tag)
+                )
             return
         if message.status < 300:
-            self._stands(leg, message)
+            self._handle_2xx(leg, message)
             return
-        self._end_leg(leg)
+        self._release_circuit(leg)
         if leg.cancelled:
             return
         transaction = leg.transaction
-        ending, reason = ENDINGS.get(message.status, Ending.ERROR), rejection_reason(message)
+        ending, reason = OUTCOMES_BY_STATUS.get(message.status, Ending.ERROR), rejection_reason(message)
         if not message.get("via") and message.status == 503:  # the transport failed
-            up = transaction is None or transaction.flow.was_up
-            ending = Ending.CUT if up else Ending.UNREACHABLE
+            connected = transaction is None or transaction.flow.was_connected
+            ending = Ending.CUT if connected else Ending.UNREACHABLE
         elif message.status == 503 and reason is Reason.NONE:
             reason = Reason.PROCESSOR_FULL
-        elif message.status in BUSY:
+        elif message.status in BUSY_STATUSES:
             reason = Reason.LINES_BUSY
-        self.inbox.tell(Ended(leg.attempt, ending, reason, load_values(message, self.set)))
+        self.inbox.tell(Ended(leg.attempt, ending, reason, load_values(message, self.settings)))
 
-    def _stands(self, leg: Leg, message: Message) -> None:
+    def _handle_2xx(self, leg: HubLeg, message: Message) -> None:
         transaction, call = leg.transaction, leg.call
         assert transaction is not None
         try:
             tag = parse_name_addr(message.get("to")).tag
-        except BadAddress:
+        except AddressError:
             tag = ""
         side = leg.sides.get(tag)
         if side is not None:  # its ACK got lost
-            if side.ack is not None:
-                self._flow_for(side.dialog).send(side.ack)
+            if side.last_ack is not None:
+                self._dialog_flow(side.dialog).send(side.last_ack)
             return
-        side = leg.sides[tag] = Side(
+        side = leg.sides[tag] = DialogSide(
             call, Dialog(transaction.request, message, transaction.flow, True), False
         )
-        self.dialogs[side.dialog.key] = side
-        taken = call.hub_side is not None and not call.hub_side.dialog.over
-        chosen = not leg.cancelled and not taken and not call.server.answered
-        if chosen and not call.server.request.body:
-            side.ack = None  # the caller's ACK will bring the answer to the hub's offer
+        self.dialog_sides[side.dialog.key] = side
+        already_answered = call.hub_side is not None and not call.hub_side.dialog.terminated
+        accepted = (
+            not leg.cancelled and not already_answered and not call.invite_transaction.final_response_sent
+        )
+        if accepted and not call.invite_transaction.request.body:
+            side.last_ack = None  # the caller's ACK will bring the answer to the hub's offer
         else:
-            self._acknowledge(side, None)
-        if not chosen:  # a second fork, or it crossed our CANCEL: nobody wants it
-            self._end_leg(leg)
-            self._bye(side, 16)
+            self._send_ack(side, None)
+        if not accepted:  # a second fork, or it crossed our CANCEL: nobody wants it
+            self._release_circuit(leg)
+            self._send_bye(side, 16)
             return
         call.hub_side = side
-        call.answer_kind = message.get("content-type", call.answer_kind)
+        call.answer_content_type = message.get("content-type", call.answer_content_type)
         self.inbox.tell(Stood(leg.attempt, message.body))
 
-    def _acknowledge(self, side: Side, caller_ack: Message | None) -> None:
-        dialog, flow = side.dialog, self._flow_for(side.dialog)
+    def _send_ack(self, side: DialogSide, caller_ack: Message | None) -> None:
+        dialog, flow = side.dialog, self._dialog_flow(side.dialog)
         body = caller_ack.body if caller_ack is not None else b""
-        kind = content(caller_ack) if caller_ack is not None else []
-        side.ack = dialog.make("ACK", self._via(flow), *kind, seq=dialog.invite_seq, body=body)
-        flow.send(side.ack)
+        content_headers = content_type_headers(caller_ack) if caller_ack is not None else []
+        side.last_ack = dialog.make_request(
+            "ACK",
+            self._new_via(flow),
+            *content_headers,
+            sequence_number=dialog.invite_sequence_number,
+            body=body,
+        )
+        flow.send(side.last_ack)
 
-    def _cancel(self, attempt: Attempt) -> None:
+    def _cancel_attempt(self, attempt: Attempt) -> None:
         call = self.calls.get(attempt.offer.call)
         leg = call.legs.get(attempt.number) if call is not None else None
         if leg is not None:
             self._cancel_leg(leg)
 
-    def _cancel_leg(self, leg: Leg) -> None:
+    def _cancel_leg(self, leg: HubLeg) -> None:
         """CANCEL, once; nothing where the attempt has come to its end."""
-        if leg.cancelled or leg.transaction is None or not leg.counted:
+        if leg.cancelled or leg.transaction is None or not leg.occupies_circuit:
             return
         if leg.sides:  # guards against a call that stands for nobody: its answer crossed the core's giving up
             for side in list(leg.sides.values()):
-                self._bye(side, 16)
+                self._send_bye(side, 16)
             return
         leg.cancelled = leg.transaction.abandoned = True
-        if not leg.transaction.flow.was_up:  # it never left
+        if not leg.transaction.flow.was_connected:  # it never left
             leg.transaction.terminate()
-            self._end_leg(leg)
-        elif leg.provisional:
+            self._release_circuit(leg)
+        elif leg.provisional_received:
             self._send_cancel(leg)  # else it has to wait for a provisional response (9.1)
 
-    def _send_cancel(self, leg: Leg) -> None:
+    def _send_cancel(self, leg: HubLeg) -> None:
         transaction = leg.transaction
-        if transaction is None or transaction.state not in (State.CALLING, State.PROCEEDING):
+        if transaction is None or transaction.state not in (
+            TransactionState.CALLING,
+            TransactionState.PROCEEDING,
+        ):
             return
-        made = within(transaction.request, "CANCEL")
-        self._client(transaction.flow, made, lambda message: None)
+        cancel = request_in_transaction(transaction.request, "CANCEL")
+        self._start_client_transaction(transaction.flow, cancel, lambda message: None)
 
-        def unanswered() -> None:
-            if transaction.state is State.PROCEEDING:
+        def on_cancel_timeout() -> None:
+            if transaction.state is TransactionState.PROCEEDING:
                 transaction.terminate()
-                self._end_leg(leg)
+                self._release_circuit(leg)
 
-        self.at(self.now() + self.timing.b, unanswered)
+        self.schedule_at(self.now() + self.timing.transaction_timeout, on_cancel_timeout)
 
-    def _end_leg(self, leg: Leg) -> None:
-        if leg.counted:
-            leg.counted = False
-            self._count(leg.hub, -1)
+    def _release_circuit(self, leg: HubLeg) -> None:
+        if leg.occupies_circuit:
+            leg.occupies_circuit = False
+            self._change_used_circuits(leg.hub, -1)
 
-    def _count(self, hub: HubPlace, by: int) -> None:
+    def _change_used_circuits(self, hub: HubConfig, change: int) -> None:
         """Circuits towards a hub whose number of them is in the operator's file are counted here."""
-        self.used[hub.name] += by
+        self.used_circuits[hub.name] += change
         if hub.circuits:
-            told = {Figure.FREE_CIRCUITS: hub.circuits - self.used[hub.name], Figure.GROUP_SIZE: hub.circuits}
-            figures = tuple(float(told.get(figure, -1)) for figure in self.set.figures)
+            values_by_field = {
+                Figure.FREE_CIRCUITS: hub.circuits - self.used_circuits[hub.name],
+                Figure.GROUP_SIZE: hub.circuits,
+            }
+            figures = tuple(float(values_by_field.get(figure, -1)) for figure in self.settings.figures)
             self.inbox.tell(GroupState(hub.name, figures))
 
-    def _probe(self, name: bytes, deadline_ms: float) -> None:
-        hub, asked = self.hubs[name], self.now()
-        done = False
+    def _send_probe(self, name: bytes, deadline_ms: float) -> None:
+        hub, sent_ms = self.hubs[name], self.now()
+        completed = False
 
-        def answered(message: Message) -> None:
-            nonlocal done
-            if not done and message.status >= 200:
-                done = True
-                well = message.status < 300
-                self.inbox.tell(Probed(name, well, self.now() - asked + 0.1, load_values(message, self.set)))
+        def on_response(message: Message) -> None:
+            nonlocal completed
+            if not completed and message.status >= 200:
+                completed = True
+                successful = message.status < 300
+                self.inbox.tell(
+                    Probed(name, successful, self.now() - sent_ms + 0.1, load_values(message, self.settings))
+                )
 
-        flow = self.transports.to(hub.transport, hub.host, hub.port, deadline_ms)
+        flow = self.transport_layer.flow_to(hub.transport, hub.host, hub.port, deadline_ms)
         uri = f"sip:load@{hub.host}:{hub.port}"
-        made = request(
-            "OPTIONS", uri, ("via", self._via(flow)), ("max-forwards", "70"),
-            ("from", f"<sip:landingdeal@{self.config.host}>;tag={self._tag()}"), ("to", f"<{uri}>"),
-            ("call-id", self._tag() + self._tag()), ("cseq", "1 OPTIONS"),
+        options = request(
+            "OPTIONS", uri, ("via", self._new_via(flow)), ("max-forwards", "70"),
+            ("from", f"<sip:landingdeal@{self.config.host}>;tag={self._new_tag()}"), ("to", f"<{uri}>"),
+            ("call-id", self._new_tag() + self._new_tag()), ("cseq", "1 OPTIONS"),
         )  # fmt: skip
-        self.at(deadline_ms, lambda: answered(response(Message(), 408)))
-        self._client(flow, made, answered)
+        self.schedule_at(deadline_ms, lambda: on_response(response(Message(), 408)))
+        self._start_client_transaction(flow, options, on_response)
 
     # --- within dialogs ---
 
-    def _side(self, message: Message, flow: Flow) -> Side | None:
+    def _find_side(self, message: Message, flow: Flow) -> DialogSide | None:
         try:
-            local, remote = parse_name_addr(message.get("to")).tag, parse_name_addr(message.get("from")).tag
-        except BadAddress:
+            local_tag, remote_tag = (
+                parse_name_addr(message.get("to")).tag,
+                parse_name_addr(message.get("from")).tag,
+            )
+        except AddressError:
             return None
-        if isinstance(flow, CaptureFlow):  # what was recorded names the tag of whoever answered then
-            known = [side for key, side in self.dialogs.items() if key[::2] == (message.call_id, remote)]
+        if isinstance(flow, PlaybackFlow):  # what was recorded names the tag of whoever answered then
+            known = [
+                side for key, side in self.dialog_sides.items() if key[::2] == (message.call_id, remote_tag)
+            ]
             return known[0] if known else None
-        return self.dialogs.get((message.call_id, local, remote))
+        return self.dialog_sides.get((message.call_id, local_tag, remote_tag))
 
-    def _within(self, transaction: ServerTransaction, to_tag: str, flow: Flow) -> None:
+    def _handle_in_dialog_request(self, transaction: ServerTransaction, to_tag: str, flow: Flow) -> None:
         message = transaction.request
-        side = self._side(message, flow)
+        side = self._find_side(message, flow)
         if side is None:
-            early = [c for c in self.early.values() if c.tag == to_tag and not c.server.answered]
-            if message.method == "BYE" and early and early[0].server.request.call_id == message.call_id:
-                transaction.respond(self._reply(message, 200))  # of an early dialog (15)
-                self._withdraw(early[0])
+            early_calls = [
+                early_call
+                for early_call in self.early_calls.values()
+                if early_call.local_tag == to_tag and not early_call.invite_transaction.final_response_sent
+            ]
+            if (
+                message.method == "BYE"
+                and early_calls
+                and early_calls[0].invite_transaction.request.call_id == message.call_id
+            ):
+                transaction.respond(self._make_response(message, 200))  # of an early dialog (15)
+                self._abandon_call(early_calls[0])
                 return
-            transaction.respond(self._reply(message, 481))
+            transaction.respond(self._make_response(message, 481))
             return
-        number = message.cseq[0]
-        if number <= side.dialog.remote_seq:  # out of order (12.2.2)
-            transaction.respond(self._reply(message, 500, ("retry-after", "1")))
+        sequence_number = message.cseq[0]
+        if sequence_number <= side.dialog.remote_sequence_number:  # out of order (12.2.2)
+            transaction.respond(self._make_response(message, 500, ("retry-after", "1")))
             return
         if flow.reliable:
             side.dialog.flow = flow
         if message.method == "INVITE":
-            self._reinvite(side, transaction)
+            self._forward_reinvite(side, transaction)
             return
-        side.dialog.remote_seq = number
-        transaction.respond(self._reply(message, 200, ALLOW_HEADER))
+        side.dialog.remote_sequence_number = sequence_number
+        transaction.respond(self._make_response(message, 200, ALLOW_HEADER))
         if message.method == "BYE":
-            self._drop_call(side.call, release_cause(message), side)
+            self._end_call(side.call, release_cause(message), side)
 
-    def _reinvite(self, side: Side, transaction: ServerTransaction) -> None:
-        message, other = transaction.request, side.other
-        if side.incoming is not None:  # a second one before the first was answered (14.2)
-            later = str(self.random.randint(0, 10))
-            transaction.respond(self._reply(message, 500, ("retry-after", later)))
+    def _forward_reinvite(self, side: DialogSide, transaction: ServerTransaction) -> None:
+        message, peer_side = transaction.request, side.peer_side
+        if side.incoming_reinvite is not None:  # a second one before the first was answered (14.2)
+            retry_after_s = str(self.random.randint(0, 10))
+            transaction.respond(self._make_response(message, 500, ("retry-after", retry_after_s)))
             return
-        if other is None or other.incoming is not None or other.unacked >= 0 or side.unacked >= 0:
-            transaction.respond(self._reply(message, 491))
+        if (
+            peer_side is None
+            or peer_side.incoming_reinvite is not None
+            or peer_side.unacknowledged >= 0
+            or side.unacknowledged >= 0
+        ):
+            transaction.respond(self._make_response(message, 491))
             return
-        side.dialog.remote_seq = message.cseq[0]
-        side.dialog.refreshed(message)
-        side.incoming = transaction
+        side.dialog.remote_sequence_number = message.cseq[0]
+        side.dialog.refresh_remote_target(message)
+        side.incoming_reinvite = transaction
         transaction.respond(response(message, 100))
-        flow = self._flow_for(other.dialog)
-        made = other.dialog.make(
-            "INVITE", self._via(flow), self._contact(flow), ALLOW_HEADER, *content(message), body=message.body
+        flow = self._dialog_flow(peer_side.dialog)
+        reinvite = peer_side.dialog.make_request(
+            "INVITE",
+            self._new_via(flow),
+            self._contact_header(flow),
+            ALLOW_HEADER,
+            *content_type_headers(message),
+            body=message.body,
+        )
+        peer_side.dialog.invite_sequence_number = reinvite.cseq[0]
+        side.cancel_pending = False
+        side.forwarded_reinvite = self._start_client_transaction(
+            flow,
+            reinvite,
+            lambda response_to_reinvite: self._handle_reinvite_response(
+                side, transaction, response_to_reinvite
+            ),
         )
-        other.dialog.invite_seq = made.cseq[0]
-        side.cancelled = False
-        side.forwarded = self._client(flow, made, lambda got: self._reinvited(side, transaction, got))
 
-    def _reinvited(self, side: Side, transaction: ServerTransaction, got: Message) -> None:
-        other, asked = side.other, transaction.request
-        if other is None:
+    def _handle_reinvite_response(
+        self, side: DialogSide, transaction: ServerTransaction, received_response: Message
+    ) -> None:
+        peer_side, original_reinvite = side.peer_side, transaction.request
+        if peer_side is None:
             return
-        if got.status < 200:
-            self._pass_cancel(side)
+        if received_response.status < 200:
+            self._forward_cancel(side)
             return
-        if got.status < 300:
+        if received_response.status < 300:
             if (
-                transaction.answered
+                transaction.final_response_sent
             ):  # its ACK got lost, or the call is over by now: acknowledged all the same
-                if other.ack is not None and other.ack.cseq[0] == other.dialog.invite_seq:
-                    self._flow_for(other.dialog).send(other.ack)
-                elif other.dialog.over:
-                    self._acknowledge(other, None)
+                if (
+                    peer_side.last_ack is not None
+                    and peer_side.last_ack.cseq[0] == peer_side.dialog.invite_sequence_number
+                ):
+                    self._dialog_flow(peer_side.dialog).send(peer_side.last_ack)
+                elif peer_side.dialog.terminated:
+                    self._send_ack(peer_side, None)
                 return
-            other.dialog.refreshed(got)
-            other.ack = None
-            if asked.body:
-                self._acknowledge(other, None)
-            side.incoming = None
-            contact = self._contact(transaction.flow)
-            final = self._reply(asked, 200, contact, ALLOW_HEADER, *content(got), body=got.body)
-            self._stand(side, transaction, final)
+            peer_side.dialog.refresh_remote_target(received_response)
+            peer_side.last_ack = None
+            if original_reinvite.body:
+                self._send_ack(peer_side, None)
+            side.incoming_reinvite = None
+            contact = self._contact_header(transaction.flow)
+            final_response = self._make_response(
+                original_reinvite,
+                200,
+                contact,
+                ALLOW_HEADER,
+                *content_type_headers(received_response),
+                body=received_response.body,
+            )
+            self._send_2xx(side, transaction, final_response)
             return
-        side.incoming = None
-        more = [("retry-after", got.get("retry-after"))] if got.get("retry-after") else []
-        transaction.respond(self._reply(asked, got.status, *more))
-        if got.status in (408, 481) or not got.get("via"):  # that leg is gone (12.2.1.2)
-            self._drop_call(side.call, CAUSE_CUT, other)
+        side.incoming_reinvite = None
+        retry_headers = (
+            [("retry-after", received_response.get("retry-after"))]
+            if received_response.get("retry-after")
+            else []
+        )
+        transaction.respond(self._make_response(original_reinvite, received_response.status, *retry_headers))
+        if received_response.status in (408, 481) or not received_response.get(
+            "via"
+        ):  # that leg is gone (12.2.1.2)
+            self._end_call(side.call, CAUSE_CUT, peer_side)
 
-    def _cancel_reinvite(self, invite: ServerTransaction) -> None:
+    def _cancel_reinvite(self, reinvite: ServerTransaction) -> None:
         """CANCEL goes on to the other side; the final answer is whatever comes back from there."""
-        for side in list(self.dialogs.values()):
-            if side.incoming is invite:
-                side.cancelled = True
-                self._pass_cancel(side)
-
-    def _pass_cancel(self, side: Side) -> None:
-        forwarded = side.forwarded
-        if side.cancelled and forwarded is not None and forwarded.state is State.PROCEEDING:
-            side.cancelled = False
-            self._client(forwarded.flow, within(forwarded.request, "CANCEL"), lambda message: None)
+        for side in list(self.dialog_sides.values()):
+            if side.incoming_reinvite is reinvite:
+                side.cancel_pending = True
+                self._forward_cancel(side)
+
+    def _forward_cancel(self, side: DialogSide) -> None:
+        forwarded_reinvite = side.forwarded_reinvite
+        if (
+            side.cancel_pending
+            and forwarded_reinvite is not None
+            and forwarded_reinvite.state is TransactionState.PROCEEDING
+        ):
+            side.cancel_pending = False
+            self._start_client_transaction(
+                forwarded_reinvite.flow,
+                request_in_transaction(forwarded_reinvite.request, "CANCEL"),
+                lambda message: None,
+            )
 
     # --- the end of a call ---
 
-    def _bye(self, side: Side, cause: int) -> None:
-        if side.dialog.over:
+    def _send_bye(self, side: DialogSide, cause: int) -> None:
+        if side.dialog.terminated:
             return
-        if side.unacked >= 0 and side.caller:  # not before the ACK of the 2xx (15)
-            side.bye_cause = cause
+        if side.unacknowledged >= 0 and side.is_caller:  # not before the ACK of the 2xx (15)
+            side.deferred_bye_cause = cause
             return
-        if side.ack is None and not side.caller:
-            self._acknowledge(side, None)
-        self._close(side)
-        flow = self._flow_for(side.dialog)
-        made = side.dialog.make("BYE", self._via(flow), reason_header(cause))
-        self._client(flow, made, lambda message: None)
-
-    def _close(self, side: Side) -> None:
+        if side.last_ack is None and not side.is_caller:
+            self._send_ack(side, None)
+        self._close_side(side)
+        flow = self._dialog_flow(side.dialog)
+        bye = side.dialog.make_request("BYE", self._new_via(flow), reason_header(cause))
+        self._start_client_transaction(flow, bye, lambda message: None)
+
+    def _close_side(self, side: DialogSide) -> None:
         """The leg is over: a re-INVITE still open there gets its final answer first (15.1.2)."""
-        side.dialog.over = True
-        side.unacked = -1
-        if side.incoming is not None:
-            side.incoming.respond(self._reply(side.incoming.request, 487))
-            side.incoming = None
-        self.dialogs.pop(side.dialog.key, None)
-        if not side.caller:
+        side.dialog.terminated = True
+        side.unacknowledged = -1
+        if side.incoming_reinvite is not None:
+            side.incoming_reinvite.respond(self._make_response(side.incoming_reinvite.request, 487))
+            side.incoming_reinvite = None
+        self.dialog_sides.pop(side.dialog.key, None)
+        if not side.is_caller:
             for leg in side.call.legs.values():
                 if side in leg.sides.values():
-                    self._end_leg(leg)
-        self._forget(side.call)
+                    self._release_circuit(leg)
+        self._forget_if_ended(side.call)
 
-    def _forget(self, call: Call) -> None:
-        sides = [s for s in (call.caller_side, call.hub_side) if s is not None]
-        pending = not call.server.answered or any(not side.dialog.over for side in sides)
+    def _forget_if_ended(self, call: SipCall) -> None:
+        sides = [known_side for known_side in (call.caller_side, call.hub_side) if known_side is not None]
+        pending = not call.invite_transaction.final_response_sent or any(
+            not side.dialog.terminated for side in sides
+        )
         if not pending:
             for leg in call.legs.values():
                 # guards a hub against ringing on for nobody: over TCP the ACK of our 487 ends the caller's
@@ -583,18 +699,18 @@
                 if not leg.sides:
                     self._cancel_leg(leg)
             self.calls.pop(call.key, None)
-            self.merged.discard(call.merged_key)
+            self.merge_keys.discard(call.merge_key)
 
-    def _drop_call(self, call: Call, cause: int, gone: Side | None) -> None:
+    def _end_call(self, call: SipCall, cause: int, ended_side: DialogSide | None) -> None:
         """Ends both legs; `gone` is the one that ended it, or can't be reached. The core is told once."""
         for side in (call.caller_side, call.hub_side):
-            if side is not None and not side.dialog.over:
-                if side is gone:
-                    self._close(side)
+            if side is not None and not side.dialog.terminated:
+                if side is ended_side:
+                    self._close_side(side)
                 else:
-                    self._bye(side, cause)
-        if gone is not None and not gone.caller:
-            hub = next((leg.hub.name for leg in call.legs.values() if gone in leg.sides.values()), b"")
+                    self._send_bye(side, cause)
+        if ended_side is not None and not ended_side.is_caller:
+            hub = next((leg.hub.name for leg in call.legs.values() if ended_side in leg.sides.values()), b"")
             self.inbox.tell(HubReleased(call.key, hub, cause))
         else:
             self.inbox.tell(CallerReleased(call.key))
@@ -604,15 +720,15 @@
         for leg in list(call.legs.values()) if call is not None else ():
             if leg.hub.name == hub:
                 for side in list(leg.sides.values()):
-                    self._bye(side, 16)
+                    self._send_bye(side, 16)
 
     def _release_all(self) -> None:
         for call in list(self.calls.values()):
             if call.caller_side is not None or call.hub_side is not None:
-                self._drop_call(call, CAUSE_CUT, None)
-            elif not call.server.answered:  # it came when the core had ended already
-                self.refuse_call(call, self.set.max_retry_advice_ms, Why.TURNED_AWAY)
-        self.released = True
+                self._end_call(call, CAUSE_CUT, None)
+            elif not call.invite_transaction.final_response_sent:  # it came when the core had ended already
+                self.refuse_call(call, self.settings.max_retry_advice_ms, Why.TURNED_AWAY)
+        self.all_released = True
 
     def flow_lost(self, flow: Flow) -> None:
         """A connection closed, was reset, or never came up.
@@ -620,37 +736,45 @@
         What awaited a response on it has failed. A dialog belongs to no connection; but its peer may be gone,
         and then nobody would ever end the call: each such leg is asked on a new connection.
         """
-        for transaction in list(self.clients.values()):
+        for transaction in list(self.client_transactions.values()):
             if transaction.flow is flow:
-                transaction.failed()
-        for server in list(self.servers.values()):  # the final answer itself could not be brought
-            if not isinstance(server.flow, ReplyFlow):
+                transaction.transport_failed()
+        for server_transaction in list(
+            self.server_transactions.values()
+        ):  # the final answer itself could not be brought
+            if not isinstance(server_transaction.flow, ResponseFlow):
                 continue
-            if server.flow.first is flow and server.state is State.COMPLETED:
-                server.retransmitted()  # guards a refusal written into a connection just being closed
-            if server.flow.spare is flow:
-                call = self.early.get(server.key)
+            if (
+                server_transaction.flow.request_flow is flow
+                and server_transaction.state is TransactionState.COMPLETED
+            ):
+                # guards a refusal written into a connection just being closed
+                server_transaction.request_retransmitted()
+            if server_transaction.flow.fallback_flow is flow:
+                call = self.early_calls.get(server_transaction.key)
                 if call is not None and call.caller_side is not None:
-                    self._drop_call(call, CAUSE_CUT, call.caller_side)
-        for side in list(self.dialogs.values()):
-            awaited = side.unacked >= 0  # its 2xx is sent again anyhow, on a new connection
-            if side.dialog.flow is flow and not side.dialog.over and not awaited:
-                self._check(side)
-
-    def _check(self, side: Side) -> None:
-        if side.checking:
+                    self._end_call(call, CAUSE_CUT, call.caller_side)
+        for side in list(self.dialog_sides.values()):
+            awaiting_ack = side.unacknowledged >= 0  # its 2xx is sent again anyhow, on a new connection
+            if side.dialog.flow is flow and not side.dialog.terminated and not awaiting_ack:
+                self._check_peer(side)
+
+    def _check_peer(self, side: DialogSide) -> None:
+        if side.checking_peer:
             return
-        side.checking = True
+        side.checking_peer = True
 
-        def answered(message: Message) -> None:
+        def on_response(message: Message) -> None:
             if message.status < 200:
                 return
-            side.checking = False
-            lost = message.status in (408, 481) or not message.get("via")
-            if lost and not side.dialog.over:
-                who = "caller" if side.caller else "lab hub"
-                say(f"call {side.call.key}: the {who} can't be reached any more")
-                self._drop_call(side.call, CAUSE_CUT, side)
-
-        flow = self._flow_for(side.dialog)
-        self._client(flow, side.dialog.make("OPTIONS", self._via(flow)), answered)
+            side.checking_peer = False
+            unreachable = message.status in (408, 481) or not message.get("via")
+            if unreachable and not side.dialog.terminated:
+                peer_name = "caller" if side.is_caller else "lab hub"
+                say(f"call {side.call.key}: the {peer_name} can't be reached any more")
+                self._end_call(side.call, CAUSE_CUT, side)
+
+        flow = self._dialog_flow(side.dialog)
+        self._start_client_transaction(
+            flow, side.dialog.make_request("OPTIONS", self._new_via(flow)), on_response
+        )
--- a/landingdeal/sip/loop.py
+++ b/landingdeal/sip/loop.py
@@ -13,28 +13,28 @@
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.threads import start_thread
 
-WAITING_MOST = 8192  # pieces of work above which messages of the wire are dropped
-IDLE_MS = 1000.0
+MAX_QUEUED_WORK = 8192  # pieces of work above which messages of the wire are dropped
+MAX_IDLE_WAIT_MS = 1000.0
 
 Work = Callable[[], None]
 
 
-class Loop:
+class EventLoop:
     def __init__(self) -> None:
         self.queue: queue.SimpleQueue[Work] = queue.SimpleQueue()
         self.timers: list[tuple[float, int, Work]] = []
-        self.order = itertools.count()
+        self.timer_sequence = itertools.count()
 
     def post(self, work: Work) -> None:
         """From any thread."""
         self.queue.put(work)
 
-    def room(self) -> bool:
-        return self.queue.qsize() < WAITING_MOST
+    def has_room(self) -> bool:
+        return self.queue.qsize() < MAX_QUEUED_WORK
 
-    def at(self, deadline_ms: float, work: Work) -> None:
+    def schedule_at(self, deadline_ms: float, work: Work) -> None:
         """From the loop's own thread."""
-        heapq.heappush(self.timers, (deadline_ms, next(self.order), work))
+        heapq.heappush(self.timers, (deadline_ms, next(self.timer_sequence), work))
 
     def now(self) -> float:
         return now_ms()
@@ -44,14 +44,14 @@
 
     def _run(self) -> None:
         while True:
-            due = self.timers[0][0] if self.timers else now_ms() + IDLE_MS
+            due = self.timers[0][0] if self.timers else now_ms() + MAX_IDLE_WAIT_MS
             with contextlib.suppress(queue.Empty):
-                self._safely(self.queue.get(timeout=seconds_until(due)))
+                self._run_safely(self.queue.get(timeout=seconds_until(due)))
             while self.timers and self.timers[0][0] <= now_ms():
-                self._safely(heapq.heappop(self.timers)[2])
+                self._run_safely(heapq.heappop(self.timers)[2])
 
     @staticmethod
-    def _safely(work: Work) -> None:
+    def _run_safely(work: Work) -> None:
         try:
             work()
         except Exception:  # guards all other calls: one message that goes wrong must not end the front
--- a/landingdeal/sip/transaction.py
+++ b/landingdeal/sip/transaction.py
@@ -28,7 +28,7 @@
         return 10 * self.t1
 
     @property
-    def b(self) -> float:  # and F, H, J, L, M
+    def transaction_timeout(self) -> float:  # and F, H, J, L, M
         return 64 * self.t1
 
 
@@ -36,7 +36,7 @@
     """Where messages of a transaction go."""
 
     @property
-    def kind(self) -> str:
+    def transport(self) -> str:
         """UDP or TCP, as Via names it."""
 
     @property
@@ -46,24 +46,24 @@
     def alive(self) -> bool: ...
 
     @property
-    def was_up(self) -> bool: ...
+    def was_connected(self) -> bool: ...
 
     def send(self, message: Message) -> None: ...
 
 
-class Layer(Protocol):
+class TransactionServices(Protocol):
     """What a transaction needs of the thread that runs it."""
 
     timing: Timing
 
-    def at(self, deadline_ms: float, work: Callable[[], None]) -> None: ...
+    def schedule_at(self, deadline_ms: float, work: Callable[[], None]) -> None: ...
 
     def now(self) -> float: ...
 
-    def over(self, transaction: Transaction) -> None: ...
+    def transaction_terminated(self, transaction: Transaction) -> None: ...
 
 
-class State(Enum):
+class TransactionState(Enum):
     CALLING = "calling"  # also Trying, of a transaction that is no INVITE
     PROCEEDING = "proceeding"
     COMPLETED = "completed"
@@ -73,91 +73,105 @@
 
 
 class Transaction:
-    def __init__(self, layer: Layer, flow: Flow, message: Message, key: str) -> None:
-        self.layer, self.flow, self.request, self.key = layer, flow, message, key
-        self.state = State.CALLING
-        self.timing = layer.timing
+    def __init__(self, services: TransactionServices, flow: Flow, message: Message, key: str) -> None:
+        self.services, self.flow, self.request, self.key = services, flow, message, key
+        self.state = TransactionState.CALLING
+        self.timing = services.timing
 
-    def within(self, interval: float) -> float:
+    def deadline_after(self, interval: float) -> float:
         """The deadline of a timer of RFC 3261 that starts now."""
-        return self.layer.now() + interval
+        return self.services.now() + interval
 
-    def end_at(self, deadline_ms: float) -> None:
+    def terminate_at(self, deadline_ms: float) -> None:
         """Timers D, H, I, J, K, L and M: nothing more is done but to absorb what still comes."""
         state = self.state
 
-        def due() -> None:
+        def on_timer() -> None:
             if self.state is state:
                 self.terminate()
 
-        if deadline_ms <= self.layer.now():
+        if deadline_ms <= self.services.now():
             self.terminate()
         else:
-            self.layer.at(deadline_ms, due)
+            self.services.schedule_at(deadline_ms, on_timer)
 
     def terminate(self) -> None:
-        if self.state is not State.TERMINATED:
-            self.state = State.TERMINATED
-            self.layer.over(self)
-
-    def repeat(
-        self, interval: float, most: float, while_in: tuple[State, ...], work: Callable[[], None]
+        if self.state is not TransactionState.TERMINATED:
+            self.state = TransactionState.TERMINATED
+            self.services.transaction_terminated(self)
+
+    def schedule_retransmits(
+        self,
+        interval: float,
+        max_interval: float,
+        while_in_states: tuple[TransactionState, ...],
+        send: Callable[[], None],
     ) -> None:
         """Timers A, E and G: again after `interval`, then after twice as long, up to `most`."""
 
-        def due() -> None:
-            if self.state in while_in:
-                work()
-                self.repeat(min(2 * interval, most), most, while_in, work)
+        def on_timer() -> None:
+            if self.state in while_in_states:
+                send()
+                self.schedule_retransmits(
+                    min(2 * interval, max_interval), max_interval, while_in_states, send
+                )
 
-        self.layer.at(self.within(interval), due)
+        self.services.schedule_at(self.deadline_after(interval), on_timer)
 
 
 class ServerTransaction(Transaction):
     """INVITE or not; the user answers with `respond`."""
 
-    def __init__(self, layer: Layer, flow: Flow, message: Message, key: str) -> None:
-        super().__init__(layer, flow, message, key)
-        self.invite = message.method == "INVITE"
-        self.state = State.PROCEEDING
-        self.last: Message | None = None
+    def __init__(self, services: TransactionServices, flow: Flow, message: Message, key: str) -> None:
+        super().__init__(services, flow, message, key)
+        self.is_invite = message.method == "INVITE"
+        self.state = TransactionState.PROCEEDING
+        self.last_response: Message | None = None
         self.on_unacknowledged: Callable[[], None] | None = None
 
     @property
-    def answered(self) -> bool:
-        return self.state is not State.PROCEEDING
+    def final_response_sent(self) -> bool:
+        return self.state is not TransactionState.PROCEEDING
 
-    def retransmitted(self) -> None:
+    def request_retransmitted(self) -> None:
         """The same request again: absorbed, and answered with the last response."""
-        if self.last is not None and self.state in (State.PROCEEDING, State.COMPLETED, State.ACCEPTED):
-            self.flow.send(self.last)
+        if self.last_response is not None and self.state in (
+            TransactionState.PROCEEDING,
+            TransactionState.COMPLETED,
+            TransactionState.ACCEPTED,
+        ):
+            self.flow.send(self.last_response)
 
     def respond(self, message: Message) -> bool:
         """False if the final response has been given already: there is only one."""
-        if self.answered:
+        if self.final_response_sent:
             return False
-        self.last = message
+        self.last_response = message
         self.flow.send(message)
         if message.status < 200:
             return True
-        if not self.invite:
-            self.state = State.COMPLETED
-            self.end_at(self.within(0 if self.flow.reliable else self.timing.b))  # timer J
+        if not self.is_invite:
+            self.state = TransactionState.COMPLETED
+            self.terminate_at(
+                self.deadline_after(0 if self.flow.reliable else self.timing.transaction_timeout)
+            )  # timer J
         elif message.status < 300:
-            self.state = State.ACCEPTED
-            self.end_at(self.within(self.timing.b))  # timer L
+            self.state = TransactionState.ACCEPTED
+            self.terminate_at(self.deadline_after(self.timing.transaction_timeout))  # timer L
         else:
-            self.state = State.COMPLETED
+            self.state = TransactionState.COMPLETED
             if not self.flow.reliable:  # timer G
-                self.repeat(self.timing.t1, self.timing.t2, (State.COMPLETED,), self.retransmitted)
-            self.end_at(self.within(self.timing.b))  # timer H
+                self.schedule_retransmits(
+                    self.timing.t1, self.timing.t2, (TransactionState.COMPLETED,), self.request_retransmitted
+                )
+            self.terminate_at(self.deadline_after(self.timing.transaction_timeout))  # timer H
         return True
 
-    def acknowledged(self) -> None:
+    def ack_received(self) -> None:
         """The ACK of a final response that is no 2xx."""
-        if self.invite and self.state is State.COMPLETED:
-            self.state = State.CONFIRMED
-            self.end_at(self.within(0 if self.flow.reliable else self.timing.t4))  # timer I
+        if self.is_invite and self.state is TransactionState.COMPLETED:
+            self.state = TransactionState.CONFIRMED
+            self.terminate_at(self.deadline_after(0 if self.flow.reliable else self.timing.t4))  # timer I
 
 
 class ClientTransaction(Transaction):
@@ -165,10 +179,15 @@
     503 with no Via a transport that failed, as RFC 3261 8.1.3.1 has the user treat them."""
 
     def __init__(
-        self, layer: Layer, flow: Flow, message: Message, key: str, on_response: Callable[[Message], None]
+        self,
+        services: TransactionServices,
+        flow: Flow,
+        message: Message,
+        key: str,
+        on_response: Callable[[Message], None],
     ) -> None:
-        super().__init__(layer, flow, message, key)
-        self.invite = message.method == "INVITE"
+        super().__init__(services, flow, message, key)
+        self.is_invite = message.method == "INVITE"
         self.on_response = on_response
         self.abandoned = False
         self.ack: Message | None = None
@@ -176,63 +195,90 @@
     def start(self) -> None:
         self.flow.send(self.request)
         if not self.flow.reliable:  # timer A, or E
-            most = self.timing.b if self.invite else self.timing.t2
-            states = (State.CALLING,) if self.invite else (State.CALLING, State.PROCEEDING)
-            self.repeat(self.timing.t1, most, states, self._again)
-        self.layer.at(self.within(self.timing.b), self._timed_out)  # timer B, or F
-
-    def _again(self) -> None:
+            max_interval = self.timing.transaction_timeout if self.is_invite else self.timing.t2
+            retransmit_states = (
+                (TransactionState.CALLING,)
+                if self.is_invite
+                else (TransactionState.CALLING, TransactionState.PROCEEDING)
+            )
+            self.schedule_retransmits(self.timing.t1, max_interval, retransmit_states, self._retransmit)
+        self.services.schedule_at(
+            self.deadline_after(self.timing.transaction_timeout), self._timed_out
+        )  # timer B, or F
+
+    def _retransmit(self) -> None:
         if not self.abandoned:  # a set-up that was given up is not pressed on a hub any more
             self.flow.send(self.request)
 
     def _timed_out(self) -> None:
-        waits = (State.CALLING,) if self.invite else (State.CALLING, State.PROCEEDING)
-        if self.state in waits:
+        awaiting_states = (
+            (TransactionState.CALLING,)
+            if self.is_invite
+            else (TransactionState.CALLING, TransactionState.PROCEEDING)
+        )
+        if self.state in awaiting_states:
             self.terminate()
             self.on_response(response(Message(), 408))
 
-    def failed(self) -> None:
+    def transport_failed(self) -> None:
         """The transport has failed: that ends it where a response is still awaited."""
-        if self.state in (State.CALLING, State.PROCEEDING):
+        if self.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
             self.terminate()
             self.on_response(response(Message(), 503))
 
-    def received(self, message: Message) -> None:
+    def response_received(self, message: Message) -> None:
         if message.status < 200:
-            if self.state in (State.CALLING, State.PROCEEDING):
-                self.state = State.PROCEEDING
+            if self.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
+                self.state = TransactionState.PROCEEDING
                 self.on_response(message)
             return
-        if self.state in (State.CALLING, State.PROCEEDING):
-            self._final(message)
-        elif self.state is State.COMPLETED and self.ack is not None and message.status >= 300:
+        if self.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
+            self._final_response_received(message)
+        elif self.state is TransactionState.COMPLETED and self.ack is not None and message.status >= 300:
             self.flow.send(self.ack)
-        elif self.state is State.ACCEPTED and message.status < 300:
+        elif self.state is TransactionState.ACCEPTED and message.status < 300:
             self.on_response(message)  # a 2xx again: its ACK got lost
 
-    def _final(self, message: Message) -> None:
-        if not self.invite:
-            self.state = State.COMPLETED
-            self.end_at(self.within(0 if self.flow.reliable else self.timing.t4))  # timer K
+    def _final_response_received(self, message: Message) -> None:
+        if not self.is_invite:
+            self.state = TransactionState.COMPLETED
+            self.terminate_at(self.deadline_after(0 if self.flow.reliable else self.timing.t4))  # timer K
         elif message.status < 300:
-            self.state = State.ACCEPTED
-            self.end_at(self.within(self.timing.b))  # timer M
+            self.state = TransactionState.ACCEPTED
+            self.terminate_at(self.deadline_after(self.timing.transaction_timeout))  # timer M
         else:
-            self.state = State.COMPLETED
-            self.ack = ack_of(self.request, message)
+            self.state = TransactionState.COMPLETED
+            self.ack = ack_for_non_2xx(self.request, message)
             self.flow.send(self.ack)
-            self.end_at(self.within(0 if self.flow.reliable else self.timing.b))  # timer D
+            self.terminate_at(
+                self.deadline_after(0 if self.flow.reliable else self.timing.transaction_timeout)
+            )  # timer D
         self.on_response(message)
 
 
-def within(sent: Message, method: str, *more: tuple[str, str]) -> Message:
+def request_in_transaction(
+    original_request: Message, method: str, *extra_headers: tuple[str, str]
+) -> Message:
     """A request of the same transaction as `sent`: the CANCEL, or the ACK of a refusal (9.1, 17.1.1.3)."""
-    number = sent.cseq[0]
-    kept = [(k, v) for k, v in sent.headers if k in ("from", "to", "call-id", "route", "max-forwards")]
-    return request(method, sent.uri, ("via", sent.get("via")), *kept, ("cseq", f"{number} {method}"), *more)
-
-
-def ack_of(sent: Message, got: Message) -> Message:
-    made = within(sent, "ACK")
-    headers = tuple((k, got.get("to", v) if k == "to" else v) for k, v in made.headers)
-    return Message("ACK", made.uri, headers=headers)
+    sequence_number = original_request.cseq[0]
+    copied = [
+        (name, value)
+        for name, value in original_request.headers
+        if name in ("from", "to", "call-id", "route", "max-forwards")
+    ]
+    return request(
+        method,
+        original_request.uri,
+        ("via", original_request.get("via")),
+        *copied,
+        ("cseq", f"{sequence_number} {method}"),
+        *extra_headers,
+    )
+
+
+def ack_for_non_2xx(invite: Message, final_response: Message) -> Message:
+    ack = request_in_transaction(invite, "ACK")
+    headers = tuple(
+        (name, final_response.get("to", value) if name == "to" else value) for name, value in ack.headers
+    )
+    return Message("ACK", ack.uri, headers=headers)
--- a/landingdeal/sip/transport.py
+++ b/landingdeal/sip/transport.py
@@ -16,13 +16,13 @@
 from landingdeal.sip.transaction import Flow
 from landingdeal.threads import start_thread
 
-DIAL_MS = 2000.0
-HELD_MOST = 64  # messages that wait for a connection to come up
-LINKS_MOST = 400
+DIAL_TIMEOUT_MS = 2000.0
+MAX_QUEUED_MESSAGES = 64  # messages that wait for a connection to come up
+MAX_CONNECTIONS = 400
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class ReceivedMessage:
     """A message as it came: from where, and the flow on which an answer goes back."""
 
     message: Message | MalformedMessage
@@ -34,18 +34,18 @@
 class Tap(Protocol):
     """Is told of each message that passes, and of each connection's end. Neither may block."""
 
-    def passed(
+    def message_passed(
         self, transport: str, source: tuple[str, int], target: tuple[str, int], message: Message
     ) -> None: ...
 
-    def closed(self, source: tuple[str, int], target: tuple[str, int], reset: bool) -> None: ...
+    def connection_closed(self, source: tuple[str, int], target: tuple[str, int], reset: bool) -> None: ...
 
 
 class UdpFlow:
-    kind = "UDP"
+    transport = "UDP"
     reliable = False
     alive = True
-    was_up = True
+    was_connected = True
 
     def __init__(self, sock: socket.socket, host: str, port: int, tap: Tap | None = None) -> None:
         self.sock, self.host, self.port, self.tap = sock, host, port, tap
@@ -53,7 +53,7 @@
 
     def send(self, message: Message) -> None:
         if self.tap is not None:  # before it goes: an answer must not be told first
-            self.tap.passed("UDP", self.sock.getsockname()[:2], (self.host, self.port), message)
+            self.tap.message_passed("UDP", self.sock.getsockname()[:2], (self.host, self.port), message)
         try:
             self.sock.sendto(encode(message), socket.MSG_DONTWAIT, (self.host, self.port))
         except OSError as error:  # a datagram may get lost; the transaction sends it again
@@ -63,7 +63,7 @@
 class TcpFlow:
     """One connection, perhaps still coming up; what is sent meanwhile is held."""
 
-    kind = "TCP"
+    transport = "TCP"
     reliable = True
 
     def __init__(self, host: str, port: int, tap: Tap | None = None) -> None:
@@ -71,79 +71,85 @@
         self.local: tuple[str, int] = ("", 0)
         self.lock = threading.Lock()
         self.link: Link | None = None
-        self.held: list[Message] = []
+        self.queued: list[Message] = []
         self.alive = True
-        self.was_up = False
+        self.was_connected = False
 
     def send(self, message: Message) -> None:
         with self.lock:
             if self.link is None:
-                if self.alive and len(self.held) < HELD_MOST:
-                    self.held.append(message)
+                if self.alive and len(self.queued) < MAX_QUEUED_MESSAGES:
+                    self.queued.append(message)
                 return
             link = self.link
         self._send(link, message)
 
     def _send(self, link: Link, message: Message) -> None:
         if self.tap is not None and link.alive:  # before it goes: an answer must not be told first
-            self.tap.passed("TCP", self.local, (self.host, self.port), message)
+            self.tap.message_passed("TCP", self.local, (self.host, self.port), message)
         link.send(message)
 
-    def up(self, link: Link) -> None:
+    def connected(self, link: Link) -> None:
         with self.lock:
-            self.link, self.was_up = link, True
+            self.link, self.was_connected = link, True
             self.local = link.sock.getsockname()[:2]
-            held, self.held = self.held, []
-            for message in held:
+            queued, self.queued = self.queued, []
+            for message in queued:
                 self._send(link, message)
 
 
-class Transports:
+class TransportLayer:
     """All flows of the front. `on_received` and `on_end` are called from readers' threads."""
 
     def __init__(
         self,
         host: str,
         port: int,
-        on_received: Callable[[Received], None],
-        on_end: Callable[[TcpFlow], None],
-        life: Lifecycle,
+        on_received: Callable[[ReceivedMessage], None],
+        on_flow_ended: Callable[[TcpFlow], None],
+        lifecycle: Lifecycle,
         tap: Tap | None = None,
     ) -> None:
-        self.host, self.port, self.life = host, port, life
-        self.on_received, self.on_end, self.tap = on_received, on_end, tap
+        self.host, self.port, self.lifecycle = host, port, lifecycle
+        self.on_received, self.on_flow_ended, self.tap = on_received, on_flow_ended, tap
         self.lock = threading.Lock()
         self.flows: dict[Link, TcpFlow] = {}
-        self.out: dict[tuple[str, int], TcpFlow] = {}
-        self.oversize = 0
+        self.outgoing: dict[tuple[str, int], TcpFlow] = {}
+        self.oversized_datagrams = 0
         self.udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.udp.bind((host, port))
 
     def start(self) -> None:
-        self.life.doors += 1
-        self.door = Door(self.host, self.port, self._accepted, lambda: self.life.accepts, self._shut)
-        self.life.watchers.append(self.door.wake)
+        self.lifecycle.doors += 1
+        self.listener = Door(
+            self.host,
+            self.port,
+            self._accept_connection,
+            lambda: self.lifecycle.accepts,
+            self._listener_closed,
+        )
+        self.lifecycle.watchers.append(self.listener.wake)
         start_thread("udp", self._read_udp)
 
-    def _shut(self) -> None:
-        self.life.doors -= 1
+    def _listener_closed(self) -> None:
+        self.lifecycle.doors -= 1
 
     def unsent(self) -> int:
         """Connections on which something is still to be written."""
         with self.lock:
             return sum(link.alive and link.unsent() > 0 for link in self.flows)
 
-    def to(self, transport: str, host: str, port: int, deadline_ms: float | None = None) -> Flow:
+    def flow_to(self, transport: str, host: str, port: int, deadline_ms: float | None = None) -> Flow:
         """A flow towards an address; a TCP connection there is used again, or dialled off this thread."""
         if transport != "TCP":
             return UdpFlow(self.udp, host, port, self.tap)
         with self.lock:
-            flow = self.out.get((host, port))
+            flow = self.outgoing.get((host, port))
             if flow is not None and flow.alive:
                 return flow
-            flow = self.out[host, port] = TcpFlow(host, port, self.tap)
-        until = deadline_ms if deadline_ms is not None else now_ms() + DIAL_MS
-        start_thread("dial", lambda: self._dial(flow, min(until, now_ms() + DIAL_MS)))
+            flow = self.outgoing[host, port] = TcpFlow(host, port, self.tap)
+        dial_deadline_ms = deadline_ms if deadline_ms is not None else now_ms() + DIAL_TIMEOUT_MS
+        start_thread("dial", lambda: self._dial(flow, min(dial_deadline_ms, now_ms() + DIAL_TIMEOUT_MS)))
         return flow
 
     def _dial(self, flow: TcpFlow, deadline_ms: float) -> None:
@@ -151,42 +157,46 @@
             sock = dial(flow.host, flow.port, deadline_ms)
         except OSError:
             flow.alive = False
-            self.on_end(flow)
+            self.on_flow_ended(flow)
             return
-        self._run(flow, sock)
+        self._start_connection(flow, sock)
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _accept_connection(self, sock: socket.socket) -> None:
         try:
             host, port = sock.getpeername()[:2]
         except OSError:
             sock.close()
             return
-        if len(self.flows) >= LINKS_MOST:  # guards the descriptors
+        if len(self.flows) >= MAX_CONNECTIONS:  # guards the descriptors
             sock.close()
             return
-        self._run(TcpFlow(host, port, self.tap), sock)
-
-    def _run(self, flow: TcpFlow, sock: socket.socket) -> None:
-        link = Link(sock, lambda _, m: self._received(flow, m), lambda on, r: self._ended(flow, on, r))
+        self._start_connection(TcpFlow(host, port, self.tap), sock)
+
+    def _start_connection(self, flow: TcpFlow, sock: socket.socket) -> None:
+        link = Link(
+            sock,
+            lambda _, message: self._message_received(flow, message),
+            lambda ended_link, reset: self._connection_ended(flow, ended_link, reset),
+        )
         with self.lock:
             self.flows[link] = flow
-        flow.up(link)
+        flow.connected(link)
         link.start()
 
-    def _received(self, flow: TcpFlow, message: Message | MalformedMessage) -> None:
+    def _message_received(self, flow: TcpFlow, message: Message | MalformedMessage) -> None:
         if self.tap is not None and isinstance(message, Message):
-            self.tap.passed("TCP", (flow.host, flow.port), flow.local, message)
-        self.on_received(Received(message, flow.host, flow.port, flow))
+            self.tap.message_passed("TCP", (flow.host, flow.port), flow.local, message)
+        self.on_received(ReceivedMessage(message, flow.host, flow.port, flow))
 
-    def _ended(self, flow: TcpFlow, link: Link, reset: bool) -> None:
+    def _connection_ended(self, flow: TcpFlow, link: Link, reset: bool) -> None:
         flow.alive = False
         if self.tap is not None:
-            self.tap.closed((flow.host, flow.port), flow.local, reset)
+            self.tap.connection_closed((flow.host, flow.port), flow.local, reset)
         with self.lock:
             self.flows.pop(link, None)
-            if self.out.get((flow.host, flow.port)) is flow:
-                del self.out[flow.host, flow.port]
-        self.on_end(flow)
+            if self.outgoing.get((flow.host, flow.port)) is flow:
+                del self.outgoing[flow.host, flow.port]
+        self.on_flow_ended(flow)
 
     def _read_udp(self) -> None:
         while True:
@@ -197,10 +207,12 @@
                     return
                 continue  # an ICMP error of an earlier datagram
             if len(data) > MAX_MESSAGE_BYTES:
-                self.oversize += 1
-                say(f"UDP {host}:{port}: {len(data)} bytes are over 16 KiB ({self.oversize} so far)")
+                self.oversized_datagrams += 1
+                say(f"UDP {host}:{port}: {len(data)} bytes exceed 16 KiB ({self.oversized_datagrams} so far)")
             elif data.strip(b"\r\n\0"):  # keep-alives are empty
                 message = decode_datagram(data)
                 if self.tap is not None and isinstance(message, Message):
-                    self.tap.passed("UDP", (host, port), (self.host, self.port), message)
-                self.on_received(Received(message, host, port, UdpFlow(self.udp, host, port, self.tap)))
+                    self.tap.message_passed("UDP", (host, port), (self.host, self.port), message)
+                self.on_received(
+                    ReceivedMessage(message, host, port, UdpFlow(self.udp, host, port, self.tap))
+                )
--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -24,7 +24,7 @@
 from landingdeal.clock import now_ms
 from landingdeal.errors import ConfigError
 from landingdeal.lab.ports import free_port
-from landingdeal.sip.capture import Capture
+from landingdeal.sip.capture import CapturePlayback
 from landingdeal.sip.message import Message, encode, request
 from tests.scenario import BODY, PATIENCE_S, play
 from tests.scenario_sip import SipStage
@@ -76,7 +76,7 @@
     path = tmp_path / "ours.pcapng"
     sink = Sink(path, Bounds(file_bytes=40_000, file_ms=0.0, total_bytes=120_000), compress)
     for number in range(400):
-        sink.passed("UDP", A, B, options(number, 1000))
+        sink.message_passed("UDP", A, B, options(number, 1000))
         if number % 20 == 0:
             assert wait_written(sink, soon())
     sink.end(soon())
@@ -102,8 +102,8 @@
     sink = Sink(tmp_path / name)
     made = traffic(Shape(calls=20, transport=transport, padding=3000))
     for sent in made:
-        sink.passed(transport, sent.source, sent.target, sent.message)
-    sink.closed(made[0].source, made[0].target, reset=True)
+        sink.message_passed(transport, sent.source, sent.target, sent.message)
+    sink.connection_closed(made[0].source, made[0].target, reset=True)
     sink.end(soon())
     found, reading = calls_in(tmp_path / name)
     assert reading.complete and reading.counts["messages"] == len(made) and len(found) == 20
@@ -114,7 +114,7 @@
     sink = Sink(tmp_path / "x.pcapng")
     invite = request("INVITE", "sip:1@net", ("via", "SIP/2.0/UDP a;branch=z9hG4bK1"), ("call-id", "ab-2"),
                      ("cseq", "1 INVITE"), ("subject", "test-report"))  # fmt: skip
-    sink.passed("UDP", A, B, invite)
+    sink.message_passed("UDP", A, B, invite)
     sink.end(soon())
     assert b"call ab class test-report attempt 2" in (tmp_path / "x.pcapng").read_bytes()
 
@@ -141,7 +141,7 @@
     sink.file = Disk(slow)  # type: ignore[assignment]
     began = time.monotonic()
     for number in range(WAITING_MOST + 2000):
-        sink.passed("UDP", A, B, options(number))
+        sink.message_passed("UDP", A, B, options(number))
     assert time.monotonic() - began < PATIENCE_S / 2 and sink.left_out >= 1000
     go.set()
     sink.end(soon())
@@ -155,13 +155,13 @@
         raise OSError(28, "No space left on device")
 
     sink.file = Disk(full_disk)  # type: ignore[assignment]
-    sink.passed("UDP", A, B, options(1))
+    sink.message_passed("UDP", A, B, options(1))
     until = soon()
     while not sink.failed and now_ms() < until:
         time.sleep(0.01)
     assert sink.failed == 1
     sink.shut_until_ms = float("-inf")  # a while later
-    sink.passed("UDP", A, B, options(2))
+    sink.message_passed("UDP", A, B, options(2))
     sink.end(soon())
     assert [seen.message.call_id for seen in read([str(tmp_path / "x.pcap")], Reading())] == ["2"]
 
@@ -169,7 +169,7 @@
 def test_a_file_that_was_not_closed_reads_to_its_last_record(tmp_path: Path) -> None:
     sink = Sink(tmp_path / "x.pcap")
     for number in range(50):
-        sink.passed("TCP", A, B, options(number))
+        sink.message_passed("TCP", A, B, options(number))
     assert wait_written(sink, soon())
     until = soon()
     while sink.written < 50 and now_ms() < until:
@@ -266,9 +266,9 @@
     for data, why in ((b"GIF89a" * 9, "neither pcap nor pcapng"), (empty, "no message")):
         (tmp_path / "x").write_bytes(data)
         with pytest.raises(ConfigError, match=why):
-            Capture([str(tmp_path / "x")], None, ("127.0.0.1", 5060))
+            CapturePlayback([str(tmp_path / "x")], None, ("127.0.0.1", 5060))
     with pytest.raises(OSError, match="No such file"):
-        Capture([str(tmp_path / "none")], None, ("127.0.0.1", 5060))
+        CapturePlayback([str(tmp_path / "none")], None, ("127.0.0.1", 5060))
 
 
 def test_conversations_are_bounded_and_each_is_whole() -> None:
