--- a/landingdeal/sip/__init__.py
+++ b/landingdeal/sip/__init__.py
@@ -1,1 +1,1 @@
-"""SIP: the message type and parser that both fronts share, and the SIP front itself."""
+"""SIP (RFC 3261): the message type and parser shared by both fronts, and the SIP front itself."""
--- a/landingdeal/sip/address.py
+++ b/landingdeal/sip/address.py
@@ -1,4 +1,4 @@
-"""The parts of SIP headers that are read: URIs, Via, and From, To and Contact with their parameters."""
+"""Parsers for SIP URIs, Via, and the name-addr headers (From, To, Contact, Route) with their parameters."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class AddressError(ValueError):
-    """A URI or a header value that can't be used."""
+    """A URI or a header value that is not valid or not supported."""
 
 
 def split_unquoted(text: str, separator: str) -> list[str]:
-    """Splits at `mark`, but not inside quotes or angle brackets."""
+    """Splits at `separator`, but not inside quotes or angle brackets."""
     parts, start, quoted, depth = [], 0, False, 0
     escaped = False
     for index, char in enumerate(text):
@@ -32,6 +32,7 @@
 
 
 def parse_params(raw_params: list[str]) -> dict[str, str]:
+    """Parses `name=value` parameters; names become lower case, quotes around values are removed."""
     params = {}
     for raw_param in raw_params:
         name, _, value = raw_param.partition("=")
@@ -41,7 +42,7 @@
 
 
 def parse_host_port(text: str) -> tuple[str, int]:
-    """`host`, `host:port` or `[v6]:port`; a port that is not named is the default."""
+    """Parses `host`, `host:port` or `[IPv6]:port`; the port defaults to 5060."""
     if text.startswith("["):
         host, bracket, rest = text[1:].partition("]")
         if not bracket or rest and not rest.startswith(":"):
@@ -62,6 +63,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Uri:
+    """A `sip:` URI; `transport` is the parameter of that name, `loose_routing` says that `lr` is present."""
+
     user: str
     host: str
     port: int
@@ -70,6 +73,7 @@
 
 
 def parse_uri(text: str) -> Uri:
+    """Parses a `sip:` URI; its headers (after `?`) are ignored. Raises AddressError."""
     scheme, colon, rest = text.partition(":")
     if not colon or scheme.lower() != "sip":
         raise AddressError(f"scheme of {text!r}")
@@ -83,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NameAddr:
-    """From, To, Contact, Route: the URI as written, and the header's own parameters."""
+    """The value of From, To, Contact or Route: the URI as written, and the parameters of the header."""
 
     uri: str
     params: dict[str, str]
@@ -94,6 +98,7 @@
 
 
 def parse_name_addr(text: str) -> NameAddr:
+    """Parses an address with or without angle brackets. Raises AddressError."""
     address, *raw_params = split_unquoted(text, ";")
     _, bracket, rest = address.partition("<")
     if not bracket:
@@ -106,6 +111,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Via:
+    """One Via value: the transport and address of the sender, and the parameters."""
+
     transport: str
     host: str
     port: int
@@ -117,6 +124,7 @@
 
 
 def parse_via(text: str) -> Via:
+    """Parses one Via value. Raises AddressError."""
     sent_by, *raw_params = split_unquoted(text, ";")
     words = sent_by.split()
     if len(words) != 2 or not words[0].upper().startswith("SIP/2.0/"):
@@ -126,6 +134,7 @@
 
 
 def top_via(values: list[str]) -> Via:
+    """Parses the topmost value of the Via headers of a message. Raises AddressError."""
     if not values:
         raise AddressError("no Via")
     return parse_via(split_unquoted(values[0], ",")[0])
--- a/landingdeal/sip/dialog.py
+++ b/landingdeal/sip/dialog.py
@@ -1,4 +1,4 @@
-"""A dialog (RFC 3261 chapter 12): tags, sequence numbers, route set and remote target of one leg."""
+"""Dialogs (RFC 3261, chapter 12): tags, sequence numbers, route set and remote target of one call leg."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Dialog:
-    """One leg of a call; `client` where we sent the INVITE that made it."""
+    """The dialog of one call leg; `is_uac` is true if we sent the INVITE that created it."""
 
     def __init__(self, invite: Message, final_response: Message, flow: Flow, is_uac: bool) -> None:
         self.flow = flow
@@ -37,6 +37,7 @@
 
     @property
     def key(self) -> tuple[str, str, str]:
+        """The dialog ID: Call-ID, local tag, remote tag."""
         return self.call_id, self.local_tag, self.remote_tag
 
     def make_request(
@@ -47,7 +48,7 @@
         sequence_number: int | None = None,
         body: bytes = b"",
     ) -> Message:
-        """A request within the dialog; an ACK repeats the number of its INVITE."""
+        """Makes a request within the dialog; an ACK is given the sequence number of its INVITE."""
         if sequence_number is None:
             self.sequence_number = sequence_number = self.sequence_number + 1
         route_set = [("route", route) for route in self.route_set]
@@ -58,15 +59,16 @@
         )  # fmt: skip
 
     def next_hop(self) -> str:
+        """The URI that requests are sent to: the first route, else the remote target."""
         return parse_name_addr(self.route_set[0]).uri if self.route_set else self.remote_target
 
     def refresh_remote_target(self, message: Message) -> None:
-        """A re-INVITE, or its 2xx, may move the remote target (12.2)."""
+        """Takes the Contact of a re-INVITE or of its 2xx as the new remote target (12.2)."""
         self.remote_target = contact_uri(message) or self.remote_target
 
 
 def contact_uri(message: Message) -> str:
-    """The URI of Contact, or nothing where there is none that can be used."""
+    """Returns the URI of Contact; empty if there is no usable one."""
     value = message.get("contact")
     if not value:
         return ""
--- a/landingdeal/sip/headers.py
+++ b/landingdeal/sip/headers.py
@@ -1,4 +1,4 @@
-"""The headers of the platform and of our hubs that both fronts read: reports, notes, causes, facts."""
+"""Headers that both fronts read and write: load reports, rejection notes and release causes."""
 
 from __future__ import annotations
 
@@ -23,22 +23,28 @@
 
 
 def release_cause(message: Message) -> int:
-    """The cause of `Reason: Q.850;cause=N`; 16, an ordinary end, where none can be read."""
+    """Returns the cause in `Reason: Q.850;cause=N`, or 16 (normal clearing) if it has no usable one."""
     _, _, value = message.get("reason").partition("cause=")
     digits = value.split(";")[0].strip()
     return int(digits) if digits.isascii() and digits.isdecimal() and len(digits) < 4 else 16
 
 
 def reason_header(cause: int) -> tuple[str, str]:
+    """Returns the Reason header that carries a Q.850 cause."""
     return "reason", f"Q.850;cause={cause}"
 
 
 def rejection_reason(message: Message) -> Reason:
+    """Returns the reason that a hub gives in X-Note; NONE if the note is missing or unknown."""
     return REASONS_BY_NOTE.get(message.get("x-note").strip(), Reason.NONE)
 
 
 def load_values(message: Message, settings: Settings) -> tuple[float, ...]:
-    """`X-State: x0:12;x1:40;queue:3` in the order of the settings; -1 for what it does not name."""
+    """Returns the load values in `X-State: x0:12;x1:40;queue:3`, in the order of the settings.
+
+    A field that the header does not name, or whose value is not a number, is -1.
+    Without the header the result is empty.
+    """
     text = message.get("x-state")
     if not text:
         return ()
--- a/landingdeal/sip/loop.py
+++ b/landingdeal/sip/loop.py
@@ -1,4 +1,4 @@
-"""The one thread of the SIP front: work to do now, and a timer heap. It never waits on a peer or the core."""
+"""The event loop of the SIP front: one thread with a work queue and a timer heap. Work must not block."""
 
 from __future__ import annotations
 
@@ -13,27 +13,30 @@
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.threads import start_thread
 
-MAX_QUEUED_WORK = 8192  # pieces of work above which messages of the wire are dropped
+MAX_QUEUED_WORK = 8192  # with more work items queued, received messages are dropped
 MAX_IDLE_WAIT_MS = 1000.0
 
 Work = Callable[[], None]
 
 
 class EventLoop:
+    """Runs posted work and due timers in its own thread."""
+
     def __init__(self) -> None:
         self.queue: queue.SimpleQueue[Work] = queue.SimpleQueue()
         self.timers: list[tuple[float, int, Work]] = []
         self.timer_sequence = itertools.count()
 
     def post(self, work: Work) -> None:
-        """From any thread."""
+        """Queues work; may be called from any thread."""
         self.queue.put(work)
 
     def has_room(self) -> bool:
+        """Whether the queue takes work for another received message."""
         return self.queue.qsize() < MAX_QUEUED_WORK
 
     def schedule_at(self, deadline_ms: float, work: Work) -> None:
-        """From the loop's own thread."""
+        """Schedules work; may only be called from the thread of the loop."""
         heapq.heappush(self.timers, (deadline_ms, next(self.timer_sequence), work))
 
     def now(self) -> float:
@@ -54,5 +57,5 @@
     def _run_safely(work: Work) -> None:
         try:
             work()
-        except Exception:  # guards all other calls: one message that goes wrong must not end the front
+        except Exception:  # a fault in handling one message must not end all other calls
             traceback.print_exc(file=sys.stderr)
--- a/landingdeal/sip/message.py
+++ b/landingdeal/sip/message.py
@@ -1,4 +1,4 @@
-"""SIP messages: decoded once into a small frozen value, encoded once; and their framing on a stream."""
+"""SIP messages as immutable values: parsing, encoding, and framing on a stream (RFC 3261, 7 and 18.3)."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class FramingError(Exception):
-    """Where the next message begins can't be told any more: the connection has to end."""
+    """The start of the next message on a stream is unknown, so the connection has to be closed."""
 
 
 class OversizedMessage(FramingError):
-    """A message over 16 KiB whose end is known: `rest` bytes of it are still to come."""
+    """A message over 16 KiB whose end is known; `remaining_bytes` of it have not been received yet."""
 
     def __init__(self, malformed: MalformedMessage, remaining_bytes: int) -> None:
         super().__init__("a message over 16 KiB")
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A request has a method and a URI, a response a status. Header names are kept in lower case."""
+    """A request has a method and a URI; a response has a status. Header names are in lower case."""
 
     method: str = ""
     uri: str = ""
@@ -46,12 +46,14 @@
     body: bytes = b""
 
     def get(self, name: str, default: str = "") -> str:
+        """Returns the first header of this name (in lower case)."""
         for key, value in self.headers:
             if key == name:
                 return value
         return default
 
     def get_all(self, name: str) -> list[str]:
+        """Returns the values of all headers of this name (in lower case), in order."""
         return [value for key, value in self.headers if key == name]
 
     @property
@@ -60,26 +62,28 @@
 
     @property
     def cseq(self) -> tuple[int, str]:
+        """Sequence number and method of CSeq; the number is -1 if it is missing or unusable."""
         number, _, method = self.get("cseq").strip().partition(" ")
         return (int(number) if number.isdecimal() and len(number) <= 10 else -1), method.strip()
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedMessage:
-    """A message whose bounds were clear but whose content is not SIP; `message` is what could be read."""
+    """A message whose bounds are known but whose content is not valid SIP; `message` is the parsed part."""
 
     problem: str
     message: Message = field(default_factory=Message)
 
 
 def request(method: str, uri: str, *headers: tuple[str, str], body: bytes = b"") -> Message:
+    """Makes a request."""
     return Message(method, uri, headers=headers, body=body)
 
 
 def response(
     answered_request: Message, status: int, *extra_headers: tuple[str, str], body: bytes = b""
 ) -> Message:
-    """The response to a request: Via, From, To, Call-ID and CSeq are copied as RFC 3261 8.2.6.2 says."""
+    """Makes the response to a request; Via, From, To, Call-ID and CSeq are copied (RFC 3261 8.2.6.2)."""
     copied = tuple(
         (name, value)
         for name, value in answered_request.headers
@@ -97,6 +101,7 @@
 
 
 def encode(message: Message) -> bytes:
+    """Encodes a message; Content-Length is always computed from the body."""
     if message.status:
         lines = [f"SIP/2.0 {message.status} {message.reason_phrase}"]
     else:
@@ -109,7 +114,7 @@
 
 
 def _parse_header_lines(lines: list[str]) -> tuple[tuple[tuple[str, str], ...], str]:
-    """The headers, with folded lines joined, and what is wrong with them (or nothing)."""
+    """Returns the headers, with folded lines joined, and the first problem in them (empty if none)."""
     headers: list[tuple[str, str]] = []
     problem = ""
     for line in lines:
@@ -126,7 +131,7 @@
 
 
 def content_length(headers: tuple[tuple[str, str], ...]) -> int | None:
-    """The stated length; None where none is stated, -1 where it can't be a length or two disagree."""
+    """Returns Content-Length; None if there is none, -1 if it is not a length or two headers disagree."""
     stated = {value for name, value in headers if name == "content-length"}
     if not stated:
         return None
@@ -167,7 +172,7 @@
 
 
 def decode_datagram(data: bytes) -> Message | MalformedMessage:
-    """One message of a datagram; bytes past Content-Length are dropped, too few are malformed (18.3)."""
+    """Parses one datagram; bytes after Content-Length are dropped, a shorter body is malformed (18.3)."""
     head, separator, body = data.lstrip(b"\r\n").partition(b"\r\n\r\n")
     headers, problem = _parse_headers(head)
     length = content_length(headers)
@@ -179,12 +184,13 @@
 
 
 class Framer:
-    """Cuts a stream into messages by Content-Length; raises BrokenFraming where that can't be done."""
+    """Splits a stream into messages by Content-Length."""
 
     def __init__(self) -> None:
         self.buffer = b""
 
     def feed(self, data: bytes) -> Iterator[Message | MalformedMessage]:
+        """Adds received bytes and yields complete messages; raises FramingError if it loses the framing."""
         self.buffer += data
         while True:
             self.buffer = self.buffer.lstrip(b"\r\n")
