--- a/landingdeal/sip/call.py
+++ b/landingdeal/sip/call.py
@@ -1,4 +1,4 @@
-"""What the SIP front keeps of a call: its legs, its sides, and what the core holds of its caller."""
+"""State of a call in the SIP front (its legs and dialogs), and the caller handle that the core uses."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 
 
 class CallerOperations(Protocol):
+    """Operations on the caller's side of a call; they run in the thread of the event loop."""
+
     event_loop: EventLoop
 
     def answer_call(self, call: SipCall, description: bytes) -> None: ...
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HubConfig:
-    """A lab hub of the operator's file; `circuits` 0 where they are not counted here."""
+    """A lab hub of the operator's file; with `circuits` 0, this program does not count its circuits."""
 
     name: bytes
     number: int
@@ -37,16 +39,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SipConfig:
+    """The section `[sip]` of the operator's file; `routes` has the longest prefix first."""
+
     host: str
     port: int
     timing: Timing
     hubs: tuple[HubConfig, ...]
-    routes: tuple[tuple[str, int], ...]  # prefix of the number called, number of the lab hub
+    routes: tuple[tuple[str, int], ...]  # prefix of the called number, number of the lab hub
     default_class: str
 
 
 class SipCaller:
-    """What the core holds of a caller: it posts, and never waits."""
+    """The caller as the core sees it; each method posts to the event loop and never blocks."""
 
     __slots__ = ("operations", "call")
 
@@ -58,7 +62,7 @@
         return self.call
 
     def reachable(self) -> bool:
-        return True  # each call of this front has an id of its own, and its answer finds a connection
+        return True  # call keys are unique here, and a response can be sent on a new connection
 
     def answer(self, description: bytes) -> None:
         self.operations.event_loop.post(lambda: self.operations.answer_call(self.call, description))
@@ -71,43 +75,49 @@
 
 
 class DialogSide:
-    """One standing leg of a call."""
+    """One established dialog of a call: towards its caller or towards its hub."""
 
     def __init__(self, call: SipCall, dialog: Dialog, is_caller: bool) -> None:
         self.call, self.dialog, self.is_caller = call, dialog, is_caller
-        self.incoming_reinvite: ServerTransaction | None = None  # a re-INVITE from here that is under way
-        self.forwarded_reinvite: ClientTransaction | None = None  # the same, towards the other side
-        self.cancel_pending = False  # and its CANCEL, which waits for a provisional response
-        self.unacknowledged = -1  # number of the INVITE whose 2xx from us has no ACK yet
-        self.deferred_bye_cause = -1  # a release that has to wait for that ACK
-        self.last_ack: Message | None = None  # the last that we sent here
-        self.checking_peer = False
+        self.incoming_reinvite: ServerTransaction | None = None  # the pending re-INVITE from this peer
+        self.forwarded_reinvite: ClientTransaction | None = (
+            None  # that re-INVITE, forwarded to the other peer
+        )
+        self.cancel_pending = False  # its CANCEL waits for a provisional response
+        self.unacknowledged = -1  # sequence number of the INVITE whose 2xx from us has no ACK yet; -1: none
+        self.deferred_bye_cause = -1  # cause of a BYE that has to wait for that ACK; -1: none
+        self.last_ack: Message | None = None  # the last ACK that we sent to this peer
+        self.checking_peer = False  # an OPTIONS to this peer is pending
 
     @property
     def peer_side(self) -> DialogSide | None:
+        """The dialog at the other end of the call."""
         return self.call.hub_side if self.is_caller else self.call.caller_side
 
 
 class HubLeg:
-    """An INVITE of ours towards a lab hub."""
+    """One attempt: an INVITE that we send to a lab hub, and the dialogs that its 2xx responses create."""
 
     def __init__(self, call: SipCall, attempt: Attempt, hub: HubConfig) -> None:
         self.call, self.attempt, self.hub = call, attempt, hub
         self.transaction: ClientTransaction | None = None
         self.provisional_received = self.cancelled = self.occupies_circuit = False
-        self.sides: dict[str, DialogSide] = {}  # by the hub's tag
+        self.sides: dict[str, DialogSide] = {}  # by the hub's tag: a hub that forks sends several
 
 
 class SipCall:
+    """A call from its INVITE until both dialogs have ended; `key` is its name in the core."""
+
     def __init__(self, key: str, invite_transaction: ServerTransaction, local_tag: str) -> None:
         self.key, self.invite_transaction, self.local_tag = key, invite_transaction, local_tag
         self.caller: SipCaller
-        self.legs: dict[int, HubLeg] = {}
+        self.legs: dict[int, HubLeg] = {}  # by number of the attempt
         self.caller_side: DialogSide | None = None
         self.hub_side: DialogSide | None = None
         self.answer_content_type = "application/sdp"
 
     @property
     def merge_key(self) -> tuple[str, str, int]:
+        """Identifies copies of one INVITE that arrive over different paths (8.2.2.2)."""
         invite = self.invite_transaction.request
         return invite.call_id, parse_name_addr(invite.get("from")).tag, invite.cseq[0]
--- a/landingdeal/sip/capture.py
+++ b/landingdeal/sip/capture.py
@@ -1,6 +1,6 @@
-"""Captures as a transport of the SIP front: callers' messages read from files, at the pace of the recording.
+"""Plays captures into the SIP front: recorded messages of callers, at the pace of the recording.
 
-Nothing is captured here. What is sent to those callers goes to nobody; the tap is told of it all the same.
+Nothing is captured here. Responses to the recorded callers are not sent, but they are reported to the tap.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class PlaybackFlow:
-    """Stands for one caller of a capture. It loses nothing, so nothing need be sent to it twice."""
+    """The flow to a recorded caller. It is reliable, so that nothing is retransmitted."""
 
     alive = True
     was_connected = True
@@ -37,7 +37,7 @@
 
 
 class CapturePlayback:
-    """Plays the arrivals of captures for our port. Raises ConfigError or OSError where there is none."""
+    """Plays the recorded messages to our port. Raises ConfigError or OSError if there is nothing to play."""
 
     def __init__(self, paths: Sequence[str], tap: Tap | None, listen: tuple[str, int]) -> None:
         self.reading, self.tap, self.port = Reading(), tap, listen[1]
@@ -48,7 +48,7 @@
             raise ConfigError(f"nothing to play: {kept[0].line() if kept else 'no message in it'}")
 
     def play(self, on_received: Callable[[ReceivedMessage], None]) -> None:
-        """In a thread of its own. Ends with a line that says what was taken up and what was not."""
+        """Runs in a thread of its own. At the end logs how many messages were played and skipped."""
         flows: dict[object, PlaybackFlow] = {}
         first_message, started_ms, played, to_other_port = self.first_message, now_ms(), 0, 0
         assert first_message is not None
@@ -63,7 +63,7 @@
                 flow = flows[key] = PlaybackFlow(
                     self.tap, captured.transport, captured.target, captured.source
                 )
-                while len(flows) > MAX_FLOWS:  # guards the memory against a capture of very many
+                while len(flows) > MAX_FLOWS:  # limits memory with a capture of very many callers
                     del flows[next(iter(flows))]
             if self.tap is not None:
                 self.tap.message_passed(
@@ -79,7 +79,7 @@
         skipped = (
             ", ".join(f"{count} {reason}" for reason, count in sorted(skipped_counts.items())) or "nothing"
         )
-        say(f"capture: {played} messages taken up; passed over: {skipped}")
+        say(f"capture: {played} messages played; skipped: {skipped}")
 
     def _all_messages(self) -> Iterator[Seen]:
         if self.first_message is not None:
--- a/landingdeal/sip/endpoint.py
+++ b/landingdeal/sip/endpoint.py
@@ -1,6 +1,7 @@
-"""The user agent's lower half: transactions are found or made here, and what belongs to none is answered.
+"""The transaction layer (RFC 3261, chapter 17): matches messages to transactions, or starts new ones.
 
-Runs in the front's one thread; `received` and `flow_ended` are called from readers' threads and only post.
+Runs in the thread of the SIP front; `message_received` and `flow_ended` are called in reader threads and
+only post work to it.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 class ResponseFlow:
-    """Where responses go: the request's connection, else a new one to the address in its Via (18.2.2)."""
+    """Sends responses on the connection of the request, else on a new one to the address in Via (18.2.2)."""
 
     def __init__(self, transaction_layer: TransactionLayer, received: ReceivedMessage, via: Via) -> None:
         self.transaction_layer, self.request_flow = transaction_layer, received.flow
@@ -55,7 +56,7 @@
 
 
 class TransactionLayer:
-    """`new_request`, `new_ack`, `server_over` and `flow_lost` are the upper half's."""
+    """Base of a user agent; the transaction user implements the methods that raise NotImplementedError."""
 
     def __init__(self, config: SipConfig, seed: int, lifecycle: Lifecycle, tap: Tap | None = None) -> None:
         self.config = config
@@ -70,18 +71,22 @@
         self.unmatched_responses = 0
 
     def new_request(self, transaction: ServerTransaction, branch_key: str, to_tag: str, flow: Flow) -> None:
+        """Handles a request that is not a retransmission; called for every method but ACK."""
         raise NotImplementedError
 
     def new_ack(self, message: Message, branch_key: str, flow: Flow) -> None:
+        """Handles any ACK, of a 2xx or of another final response."""
         raise NotImplementedError
 
     def server_transaction_terminated(self, key: str) -> None:
+        """Called when a server transaction has ended."""
         raise NotImplementedError
 
     def flow_lost(self, flow: Flow) -> None:
+        """Called when a connection has ended or could not be made."""
         raise NotImplementedError
 
-    # --- what transactions need (Layer) ---
+    # --- TransactionServices ---
 
     def schedule_at(self, deadline_ms: float, work: Work) -> None:
         self.event_loop.schedule_at(deadline_ms, work)
@@ -96,13 +101,13 @@
         else:
             self.client_transactions.pop(transaction.key, None)
 
-    # --- from readers' threads ---
+    # --- called in reader threads ---
 
     def message_received(self, received: ReceivedMessage) -> None:
         if self.event_loop.has_room():
             self.event_loop.post(lambda: self._handle_message(received))
         elif isinstance(received.flow, TcpFlow) and received.flow.link is not None:
-            received.flow.link.close()  # guards the memory: a stream can't lose one message
+            received.flow.link.close()  # limits memory: single messages of a stream can't be dropped
 
     def flow_ended(self, flow: TcpFlow) -> None:
         self.event_loop.post(lambda: self.flow_lost(flow))
@@ -128,7 +133,7 @@
         local_tag: str = "",
         body: bytes = b"",
     ) -> Message:
-        """A response; each but 100 gets a To tag (8.2.6.2)."""
+        """Makes a response; all but 100 get a To tag (8.2.6.2)."""
         reply = response(answered_request, status, *extra_headers, body=body)
         if status == 100:
             return reply
@@ -143,7 +148,7 @@
         )
         return replace(reply, headers=headers)
 
-    # --- taking messages ---
+    # --- received messages ---
 
     def _handle_message(self, received: ReceivedMessage) -> None:
         message = received.message
@@ -168,7 +173,7 @@
             branch = ""
         transaction = self.client_transactions.get(f"{branch}|{message.cseq[1]}")
         if transaction is None:
-            self.unmatched_responses += 1  # late, or not ours
+            self.unmatched_responses += 1  # too late, or not to a request of ours
         else:
             transaction.response_received(message)
 
@@ -220,7 +225,7 @@
 
     @staticmethod
     def _branch_key(message: Message, via: Via, from_tag: str) -> str:
-        """What makes requests one transaction (17.2.3); without the cookie, what RFC 2543 went by."""
+        """Returns what identifies a transaction (17.2.3); without the magic cookie, as in RFC 2543."""
         if via.branch.startswith(MAGIC_COOKIE):
             return f"{via.branch}|{via.host}:{via.port}"
         return f"{message.call_id}|{from_tag}|{message.cseq[0]}|{via.host}:{via.port}|{message.uri}"
@@ -239,12 +244,15 @@
         return transaction
 
     def _dialog_flow(self, dialog: Dialog) -> Flow:
-        """TCP: the dialog's connection while it lives; else the next hop's address, always an IP address."""
+        """Returns the flow for requests of a dialog.
+
+        That is its TCP connection while it is alive, else a flow to the next hop if that is an IP address.
+        """
         if dialog.flow.reliable and dialog.flow.alive:
             return dialog.flow
         try:
             uri = parse_uri(dialog.next_hop())
-            ipaddress.IPv4Address(uri.host)  # guards this thread against the look-up of a name
+            ipaddress.IPv4Address(uri.host)  # a host name would block this thread for a DNS lookup
         except (AddressError, ValueError):
             return dialog.flow
         reliable = dialog.flow.reliable or uri.transport == "tcp"
--- a/landingdeal/sip/transaction.py
+++ b/landingdeal/sip/transaction.py
@@ -1,6 +1,7 @@
-"""Transactions of RFC 3261 chapter 17, with the Accepted states of RFC 6026. They know no socket and no call.
+"""Transactions of RFC 3261, chapter 17, with the Accepted states of RFC 6026.
 
-Each is driven by the one thread of the SIP front; `Layer` gives it the time, timers and its user.
+They are independent of sockets and calls. All run in the thread of the SIP front; `TransactionServices`
+provides the clock and the timers.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """All timers are scaled from T1 (RFC 3261, table 4)."""
+    """Timer values in milliseconds, all scaled from T1 (RFC 3261, table 4)."""
 
     t1: float = 500.0
 
@@ -28,23 +29,27 @@
         return 10 * self.t1
 
     @property
-    def transaction_timeout(self) -> float:  # and F, H, J, L, M
+    def transaction_timeout(self) -> float:
+        """Timers B, F, H, J, L and M, and D over UDP."""
         return 64 * self.t1
 
 
 class Flow(Protocol):
-    """Where messages of a transaction go."""
+    """A channel to one peer, on which a transaction sends its messages."""
 
     @property
     def transport(self) -> str:
         """UDP or TCP, as Via names it."""
 
+    # whether the transport retransmits by itself, so that the transaction need not
     @property
     def reliable(self) -> bool: ...
 
+    # False after the connection has ended or could not be made
     @property
     def alive(self) -> bool: ...
 
+    # whether the connection was ever established; always true over UDP
     @property
     def was_connected(self) -> bool: ...
 
@@ -52,7 +57,7 @@
 
 
 class TransactionServices(Protocol):
-    """What a transaction needs of the thread that runs it."""
+    """Clock, timers and the notice of termination, provided by the thread that runs the transactions."""
 
     timing: Timing
 
@@ -64,7 +69,7 @@
 
 
 class TransactionState(Enum):
-    CALLING = "calling"  # also Trying, of a transaction that is no INVITE
+    CALLING = "calling"  # also stands for Trying of a non-INVITE client transaction
     PROCEEDING = "proceeding"
     COMPLETED = "completed"
     CONFIRMED = "confirmed"
@@ -73,17 +78,22 @@
 
 
 class Transaction:
+    """What client and server transactions share: the state, its timers and the flow."""
+
     def __init__(self, services: TransactionServices, flow: Flow, message: Message, key: str) -> None:
         self.services, self.flow, self.request, self.key = services, flow, message, key
         self.state = TransactionState.CALLING
         self.timing = services.timing
 
     def deadline_after(self, interval: float) -> float:
-        """The deadline of a timer of RFC 3261 that starts now."""
+        """Returns the deadline of a timer that starts now."""
         return self.services.now() + interval
 
     def terminate_at(self, deadline_ms: float) -> None:
-        """Timers D, H, I, J, K, L and M: nothing more is done but to absorb what still comes."""
+        """Timers D, H, I, J, K, L and M: terminates, unless the state changes before.
+
+        Until then retransmissions of the peer are absorbed.
+        """
         state = self.state
 
         def on_timer() -> None:
@@ -96,6 +106,7 @@
             self.services.schedule_at(deadline_ms, on_timer)
 
     def terminate(self) -> None:
+        """Ends the transaction and notifies its owner, once."""
         if self.state is not TransactionState.TERMINATED:
             self.state = TransactionState.TERMINATED
             self.services.transaction_terminated(self)
@@ -107,7 +118,7 @@
         while_in_states: tuple[TransactionState, ...],
         send: Callable[[], None],
     ) -> None:
-        """Timers A, E and G: again after `interval`, then after twice as long, up to `most`."""
+        """Timers A, E and G: sends again after `interval`, which doubles each time up to `max_interval`."""
 
         def on_timer() -> None:
             if self.state in while_in_states:
@@ -120,7 +131,7 @@
 
 
 class ServerTransaction(Transaction):
-    """INVITE or not; the user answers with `respond`."""
+    """An INVITE or non-INVITE server transaction; the transaction user answers with `respond`."""
 
     def __init__(self, services: TransactionServices, flow: Flow, message: Message, key: str) -> None:
         super().__init__(services, flow, message, key)
@@ -131,10 +142,11 @@
 
     @property
     def final_response_sent(self) -> bool:
+        """Whether the transaction user has given the final response."""
         return self.state is not TransactionState.PROCEEDING
 
     def request_retransmitted(self) -> None:
-        """The same request again: absorbed, and answered with the last response."""
+        """Absorbs a retransmission of the request and sends the last response again."""
         if self.last_response is not None and self.state in (
             TransactionState.PROCEEDING,
             TransactionState.COMPLETED,
@@ -143,7 +155,7 @@
             self.flow.send(self.last_response)
 
     def respond(self, message: Message) -> bool:
-        """False if the final response has been given already: there is only one."""
+        """Sends a response; returns False if the final response was sent before, as there is only one."""
         if self.final_response_sent:
             return False
         self.last_response = message
@@ -168,15 +180,18 @@
         return True
 
     def ack_received(self) -> None:
-        """The ACK of a final response that is no 2xx."""
+        """Takes the ACK of a final response other than 2xx."""
         if self.is_invite and self.state is TransactionState.COMPLETED:
             self.state = TransactionState.CONFIRMED
             self.terminate_at(self.deadline_after(0 if self.flow.reliable else self.timing.t4))  # timer I
 
 
 class ClientTransaction(Transaction):
-    """INVITE or not. `on_response` sees each provisional one, and the final one once; 408 is a time-out and
-    503 with no Via a transport that failed, as RFC 3261 8.1.3.1 has the user treat them."""
+    """An INVITE or non-INVITE client transaction.
+
+    `on_response` gets each provisional response, and the final one once (every 2xx to an INVITE). A time-out
+    is reported as a 408 and a failed transport as a 503, both without Via (RFC 3261, 8.1.3.1).
+    """
 
     def __init__(
         self,
@@ -193,6 +208,7 @@
         self.ack: Message | None = None
 
     def start(self) -> None:
+        """Sends the request and starts its timers."""
         self.flow.send(self.request)
         if not self.flow.reliable:  # timer A, or E
             max_interval = self.timing.transaction_timeout if self.is_invite else self.timing.t2
@@ -202,12 +218,11 @@
                 else (TransactionState.CALLING, TransactionState.PROCEEDING)
             )
             self.schedule_retransmits(self.timing.t1, max_interval, retransmit_states, self._retransmit)
-        self.services.schedule_at(
-            self.deadline_after(self.timing.transaction_timeout), self._timed_out
-        )  # timer B, or F
+        # timer B, or F
+        self.services.schedule_at(self.deadline_after(self.timing.transaction_timeout), self._timed_out)
 
     def _retransmit(self) -> None:
-        if not self.abandoned:  # a set-up that was given up is not pressed on a hub any more
+        if not self.abandoned:  # a cancelled set-up is not sent to the hub again
             self.flow.send(self.request)
 
     def _timed_out(self) -> None:
@@ -221,12 +236,13 @@
             self.on_response(response(Message(), 408))
 
     def transport_failed(self) -> None:
-        """The transport has failed: that ends it where a response is still awaited."""
+        """Ends the transaction with a 503 if it still waits for a final response."""
         if self.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
             self.terminate()
             self.on_response(response(Message(), 503))
 
     def response_received(self, message: Message) -> None:
+        """Takes a response that matches this transaction, retransmissions included."""
         if message.status < 200:
             if self.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
                 self.state = TransactionState.PROCEEDING
@@ -237,7 +253,7 @@
         elif self.state is TransactionState.COMPLETED and self.ack is not None and message.status >= 300:
             self.flow.send(self.ack)
         elif self.state is TransactionState.ACCEPTED and message.status < 300:
-            self.on_response(message)  # a 2xx again: its ACK got lost
+            self.on_response(message)  # a retransmitted 2xx: its ACK was lost
 
     def _final_response_received(self, message: Message) -> None:
         if not self.is_invite:
@@ -250,16 +266,17 @@
             self.state = TransactionState.COMPLETED
             self.ack = ack_for_non_2xx(self.request, message)
             self.flow.send(self.ack)
+            # timer D
             self.terminate_at(
                 self.deadline_after(0 if self.flow.reliable else self.timing.transaction_timeout)
-            )  # timer D
+            )
         self.on_response(message)
 
 
 def request_in_transaction(
     original_request: Message, method: str, *extra_headers: tuple[str, str]
 ) -> Message:
-    """A request of the same transaction as `sent`: the CANCEL, or the ACK of a refusal (9.1, 17.1.1.3)."""
+    """Makes the CANCEL of a request or the ACK of a non-2xx response; same branch (9.1, 17.1.1.3)."""
     sequence_number = original_request.cseq[0]
     copied = [
         (name, value)
@@ -277,6 +294,7 @@
 
 
 def ack_for_non_2xx(invite: Message, final_response: Message) -> Message:
+    """Makes the ACK of a final response other than 2xx; To is that of the response."""
     ack = request_in_transaction(invite, "ACK")
     headers = tuple(
         (name, final_response.get("to", value) if name == "to" else value) for name, value in ack.headers
--- a/landingdeal/sip/transport.py
+++ b/landingdeal/sip/transport.py
@@ -1,4 +1,4 @@
-"""Flows of the SIP front: UDP datagrams and TCP connections. Nobody here waits on a peer."""
+"""The transport layer of the SIP front: UDP datagrams and TCP connections. No call here waits for a peer."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from landingdeal.threads import start_thread
 
 DIAL_TIMEOUT_MS = 2000.0
-MAX_QUEUED_MESSAGES = 64  # messages that wait for a connection to come up
+MAX_QUEUED_MESSAGES = 64  # messages that wait for one connection to be established
 MAX_CONNECTIONS = 400
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedMessage:
-    """A message as it came: from where, and the flow on which an answer goes back."""
+    """A received message, its source address, and the flow on which a response goes back."""
 
     message: Message | MalformedMessage
     host: str
@@ -32,7 +32,7 @@
 
 
 class Tap(Protocol):
-    """Is told of each message that passes, and of each connection's end. Neither may block."""
+    """Observer of every message sent or received and of the end of every connection. Must not block."""
 
     def message_passed(
         self, transport: str, source: tuple[str, int], target: tuple[str, int], message: Message
@@ -42,6 +42,8 @@
 
 
 class UdpFlow:
+    """Sends datagrams from the socket of the front to one address."""
+
     transport = "UDP"
     reliable = False
     alive = True
@@ -52,16 +54,16 @@
         self.name = f"UDP {host}:{port}"
 
     def send(self, message: Message) -> None:
-        if self.tap is not None:  # before it goes: an answer must not be told first
+        if self.tap is not None:  # before sending, so that the answer is not reported first
             self.tap.message_passed("UDP", self.sock.getsockname()[:2], (self.host, self.port), message)
         try:
             self.sock.sendto(encode(message), socket.MSG_DONTWAIT, (self.host, self.port))
-        except OSError as error:  # a datagram may get lost; the transaction sends it again
+        except OSError as error:  # like a lost datagram: the transaction retransmits
             say(f"{self.name}: {error}")
 
 
 class TcpFlow:
-    """One connection, perhaps still coming up; what is sent meanwhile is held."""
+    """One TCP connection; until it is established, messages to send are queued."""
 
     transport = "TCP"
     reliable = True
@@ -85,11 +87,12 @@
         self._send(link, message)
 
     def _send(self, link: Link, message: Message) -> None:
-        if self.tap is not None and link.alive:  # before it goes: an answer must not be told first
+        if self.tap is not None and link.alive:  # before sending, so that the answer is not reported first
             self.tap.message_passed("TCP", self.local, (self.host, self.port), message)
         link.send(message)
 
     def connected(self, link: Link) -> None:
+        """Takes the established connection and sends the queued messages."""
         with self.lock:
             self.link, self.was_connected = link, True
             self.local = link.sock.getsockname()[:2]
@@ -99,7 +102,7 @@
 
 
 class TransportLayer:
-    """All flows of the front. `on_received` and `on_end` are called from readers' threads."""
+    """All flows of the front. `on_received` and `on_flow_ended` are called in reader threads."""
 
     def __init__(
         self,
@@ -135,12 +138,12 @@
         self.lifecycle.doors -= 1
 
     def unsent(self) -> int:
-        """Connections on which something is still to be written."""
+        """Returns the number of connections with data still to be written."""
         with self.lock:
             return sum(link.alive and link.unsent() > 0 for link in self.flows)
 
     def flow_to(self, transport: str, host: str, port: int, deadline_ms: float | None = None) -> Flow:
-        """A flow towards an address; a TCP connection there is used again, or dialled off this thread."""
+        """Returns a flow to an address. A TCP connection is reused, or dialled in another thread."""
         if transport != "TCP":
             return UdpFlow(self.udp, host, port, self.tap)
         with self.lock:
@@ -167,7 +170,7 @@
         except OSError:
             sock.close()
             return
-        if len(self.flows) >= MAX_CONNECTIONS:  # guards the descriptors
+        if len(self.flows) >= MAX_CONNECTIONS:  # limits the file descriptors
             sock.close()
             return
         self._start_connection(TcpFlow(host, port, self.tap), sock)
@@ -205,11 +208,11 @@
             except OSError:
                 if self.udp.fileno() < 0:
                     return
-                continue  # an ICMP error of an earlier datagram
+                continue  # an ICMP error for an earlier datagram
             if len(data) > MAX_MESSAGE_BYTES:
                 self.oversized_datagrams += 1
                 say(f"UDP {host}:{port}: {len(data)} bytes exceed 16 KiB ({self.oversized_datagrams} so far)")
-            elif data.strip(b"\r\n\0"):  # keep-alives are empty
+            elif data.strip(b"\r\n\0"):  # a keep-alive has no content
                 message = decode_datagram(data)
                 if self.tap is not None and isinstance(message, Message):
                     self.tap.message_passed("UDP", (host, port), (self.host, self.port), message)
--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -257,7 +257,7 @@
         play(stage, "program stop\nprogram ends 0\n")
     finally:
         log = stage.end()
-    assert "3 messages taken up; passed over: 1 to another port" in log
+    assert "3 messages played; skipped: 1 to another port" in log
     assert "messages written, 0 left out, 0 not taken by the disk" in log
 
 
