--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -1,7 +1,8 @@
-"""The SIP front: callers and lab hubs over UDP and TCP, bound by the same core as the platform's front.
+"""The SIP front: a back-to-back user agent for callers and lab hubs over UDP and TCP.
 
-A call has a leg towards its caller and, once it stands, one towards its lab hub; this is a back-to-back user
-agent. Everything here runs in the front's one thread; the core only posts work to it.
+An established call has a dialog towards its caller and one towards its lab hub. The core that decides is the
+same as that of the platform's front. Everything here runs in the thread of the event loop; the core only
+posts work to it.
 """
 
 from __future__ import annotations
@@ -51,11 +52,13 @@
 
 
 def content_type_headers(message: Message) -> list[tuple[str, str]]:
-    """The type of a body that is passed on unchanged."""
+    """Returns the Content-Type header of a body that is forwarded unchanged; none without a body."""
     return [("content-type", message.get("content-type", "application/sdp"))] if message.body else []
 
 
 class SipFront(TransactionLayer):
+    """The transaction user: maps attempts of the core to SIP dialogs, and messages to core events."""
+
     def __init__(
         self,
         config: SipConfig,
@@ -72,11 +75,11 @@
         self.used_circuits = {hub.name: 0 for hub in config.hubs}
         self.calls: dict[str, SipCall] = {}
         self.merge_keys: set[tuple[str, str, int]] = set()
-        self.early_calls: dict[str, SipCall] = {}  # by the branch key of the INVITE
+        self.early_calls: dict[str, SipCall] = {}  # without a 2xx; by key of the INVITE transaction
         self.dialog_sides: dict[tuple[str, str, str], DialogSide] = {}
 
     def start(self, capture: CapturePlayback | None = None) -> None:
-        """With a capture, callers' messages also come from there."""
+        """Starts the threads; with a capture, its recorded messages of callers are played as well."""
         self.event_loop.start()
         self.transport_layer.start()
         if capture is not None:
@@ -85,18 +88,19 @@
             self._change_used_circuits(hub, 0)
 
     def server_transaction_terminated(self, key: str) -> None:
+        """Forgets a call whose INVITE ended without a 2xx."""
         call = self.early_calls.pop(key, None)
         if call is not None and call.caller_side is None:
             self._forget_if_ended(call)
 
-    # --- from other threads ---
+    # --- called by the core, in its thread ---
 
     def set_up(self, attempt: Attempt) -> None:
         self.event_loop.post(lambda: self._send_invite(attempt))
 
     def cancel(self, attempt: Attempt) -> bool:
         self.event_loop.post(lambda: self._cancel_attempt(attempt))
-        return False  # a transaction times out by itself, whichever its connection
+        return False  # transactions time out by themselves, on any connection
 
     def release(self, hub: bytes, call: str) -> None:
         self.event_loop.post(lambda: self._release_hub(hub, call))
@@ -105,7 +109,7 @@
         self.event_loop.post(lambda: self._send_probe(hub, deadline_ms))
 
     def flush(self) -> int:
-        """After the core has ended: no call outlives the program. How much is still awaited."""
+        """Releases all calls after the core has ended; returns how many messages are still pending."""
         if not self.release_started:
             self.release_started = True
             self.event_loop.post(self._release_all)
@@ -138,7 +142,7 @@
         else:
             self._handle_invite(transaction, flow)
 
-    # --- a call comes in ---
+    # --- incoming calls ---
 
     def _handle_invite(self, transaction: ServerTransaction, flow: Flow) -> None:
         message = transaction.request
@@ -149,11 +153,11 @@
             transaction.respond(self._make_response(message, status))
             return
         call = SipCall(self._new_tag() + self._new_tag(), transaction, self._new_tag())
-        if call.merge_key in self.merge_keys:  # the same call by another way (8.2.2.2)
+        if call.merge_key in self.merge_keys:  # a copy of the INVITE by another path (8.2.2.2)
             transaction.respond(self._make_response(message, 482))
             return
         hub_number = next(
-            (route_target for prefix, route_target in self.config.routes if user.startswith(prefix)), None
+            (routed_hub for prefix, routed_hub in self.config.routes if user.startswith(prefix)), None
         )
         if hub_number is None:
             transaction.respond(self._make_response(message, 404))
@@ -188,7 +192,7 @@
         self.merge_keys.add(call.merge_key)
 
     def _class_name(self, message: Message) -> str:
-        """Subject is free text in SIP: it names a class, or the default counts."""
+        """Returns the class named by Subject, or the default one, as Subject is free text in SIP."""
         subject = message.get("subject")
         return (
             subject
@@ -197,7 +201,10 @@
         )
 
     def _patience_ms(self, message: Message) -> float:
-        """How long the caller waits: X-Patience in ms, or Expires in s, within what the class allows."""
+        """Returns how long the caller waits: X-Patience in ms or Expires in s, limited by the class.
+
+        Raises ValueError on a value that is not usable.
+        """
         max_patience_ms = next(
             call_class.deadline_ms
             for call_class in self.settings.classes
@@ -231,6 +238,7 @@
             self._cancel_reinvite(invite)
 
     def _abandon_call(self, call: SipCall) -> None:
+        """Answers a call that its caller cancelled, and notifies the core."""
         call.invite_transaction.respond(
             self._make_response(call.invite_transaction.request, 487, local_tag=call.local_tag)
         )
@@ -243,22 +251,21 @@
             return
         side = self._find_side(message, flow)
         if side is None or side.unacknowledged != message.cseq[0]:
-            return  # a stray ACK gets no answer
+            return  # an ACK that matches nothing gets no response
         side.unacknowledged = -1
         peer_side = side.peer_side
-        if (
-            peer_side is not None and peer_side.last_ack is None
-        ):  # the offer was in the 2xx, the answer is in this ACK
+        # the session offer was in the 2xx of the hub, the answer is in this ACK
+        if peer_side is not None and peer_side.last_ack is None:
             self._send_ack(peer_side, message)
         if side.deferred_bye_cause >= 0:
             self._send_bye(side, side.deferred_bye_cause)
 
-    # --- what the core says of a caller ---
+    # --- CallerOperations ---
 
     def answer_call(self, call: SipCall, description: bytes) -> None:
         invite, hub_side = call.invite_transaction.request, call.hub_side
         if call.invite_transaction.final_response_sent or call.key not in self.calls:
-            self.inbox.tell(CallerReleased(call.key))  # it crossed a CANCEL: what stands is released
+            self.inbox.tell(CallerReleased(call.key))  # the answer crossed a CANCEL: release the hub
             return
         content_type = ("content-type", call.answer_content_type)
         flow = call.invite_transaction.flow
@@ -273,11 +280,11 @@
         )
         self.dialog_sides[side.dialog.key] = side
         self._send_2xx(side, call.invite_transaction, final_response)
-        if hub_side is None or hub_side.dialog.terminated:  # its lab hub has released it already
+        if hub_side is None or hub_side.dialog.terminated:  # the hub has already released the call
             self._send_bye(side, CAUSE_CUT)
 
     def _send_2xx(self, side: DialogSide, transaction: ServerTransaction, final_response: Message) -> None:
-        """Sends a 2xx, and again until its ACK comes (13.3.1.4), on any transport."""
+        """Sends a 2xx to an INVITE and, on any transport, retransmits it until its ACK arrives (13.3.1.4)."""
         sequence_number = transaction.request.cseq[0]
         side.unacknowledged = sequence_number
         transaction.respond(final_response)
@@ -293,7 +300,7 @@
         def on_ack_timeout() -> None:
             if side.unacknowledged == sequence_number and not side.dialog.terminated:
                 side.unacknowledged = -1
-                say(f"call {side.call.key}: a 2xx was never acknowledged")
+                say(f"call {side.call.key}: no ACK received for the 2xx, ending the call")
                 self._end_call(side.call, CAUSE_CUT, None)
 
         schedule_retransmit(self.timing.t1)
@@ -328,7 +335,7 @@
             return
         remaining_ms = attempt.deadline_ms - self.now()
         if remaining_ms <= 0:
-            return  # the core's own timer tells of its end
+            return  # the timer of the core ends this attempt
         leg = call.legs[attempt.number] = HubLeg(call, attempt, hub)
         flow = self.transport_layer.flow_to(hub.transport, hub.host, hub.port, attempt.deadline_ms)
         invite = call.invite_transaction.request
@@ -387,7 +394,7 @@
         except AddressError:
             tag = ""
         side = leg.sides.get(tag)
-        if side is not None:  # its ACK got lost
+        if side is not None:  # a retransmission: the ACK was lost
             if side.last_ack is not None:
                 self._dialog_flow(side.dialog).send(side.last_ack)
             return
@@ -400,10 +407,10 @@
             not leg.cancelled and not already_answered and not call.invite_transaction.final_response_sent
         )
         if accepted and not call.invite_transaction.request.body:
-            side.last_ack = None  # the caller's ACK will bring the answer to the hub's offer
+            side.last_ack = None  # the ACK of the caller will carry the answer to the offer of the hub
         else:
             self._send_ack(side, None)
-        if not accepted:  # a second fork, or it crossed our CANCEL: nobody wants it
+        if not accepted:  # a second fork, or the 2xx crossed our CANCEL: release it
             self._release_circuit(leg)
             self._send_bye(side, 16)
             return
@@ -431,19 +438,19 @@
             self._cancel_leg(leg)
 
     def _cancel_leg(self, leg: HubLeg) -> None:
-        """CANCEL, once; nothing where the attempt has come to its end."""
+        """Cancels an attempt, once; does nothing if it has ended."""
         if leg.cancelled or leg.transaction is None or not leg.occupies_circuit:
             return
-        if leg.sides:  # guards against a call that stands for nobody: its answer crossed the core's giving up
+        if leg.sides:  # the 2xx crossed the cancellation: release the established dialogs
             for side in list(leg.sides.values()):
                 self._send_bye(side, 16)
             return
         leg.cancelled = leg.transaction.abandoned = True
-        if not leg.transaction.flow.was_connected:  # it never left
+        if not leg.transaction.flow.was_connected:  # the INVITE was never sent
             leg.transaction.terminate()
             self._release_circuit(leg)
         elif leg.provisional_received:
-            self._send_cancel(leg)  # else it has to wait for a provisional response (9.1)
+            self._send_cancel(leg)  # otherwise only after a provisional response (9.1)
 
     def _send_cancel(self, leg: HubLeg) -> None:
         transaction = leg.transaction
@@ -463,12 +470,13 @@
         self.schedule_at(self.now() + self.timing.transaction_timeout, on_cancel_timeout)
 
     def _release_circuit(self, leg: HubLeg) -> None:
+        """Frees the circuit of a leg, once."""
         if leg.occupies_circuit:
             leg.occupies_circuit = False
             self._change_used_circuits(leg.hub, -1)
 
     def _change_used_circuits(self, hub: HubConfig, change: int) -> None:
-        """Circuits towards a hub whose number of them is in the operator's file are counted here."""
+        """Counts used circuits and reports the free ones if the operator's file states their number."""
         self.used_circuits[hub.name] += change
         if hub.circuits:
             values_by_field = {
@@ -501,9 +509,10 @@
         self.schedule_at(deadline_ms, lambda: on_response(response(Message(), 408)))
         self._start_client_transaction(flow, options, on_response)
 
-    # --- within dialogs ---
+    # --- requests within dialogs ---
 
     def _find_side(self, message: Message, flow: Flow) -> DialogSide | None:
+        """Returns the dialog that a request or ACK belongs to."""
         try:
             local_tag, remote_tag = (
                 parse_name_addr(message.get("to")).tag,
@@ -511,7 +520,9 @@
             )
         except AddressError:
             return None
-        if isinstance(flow, PlaybackFlow):  # what was recorded names the tag of whoever answered then
+        if isinstance(
+            flow, PlaybackFlow
+        ):  # a recorded request has the To tag of the recorded answer, not ours
             known = [
                 side for key, side in self.dialog_sides.items() if key[::2] == (message.call_id, remote_tag)
             ]
@@ -532,13 +543,13 @@
                 and early_calls
                 and early_calls[0].invite_transaction.request.call_id == message.call_id
             ):
-                transaction.respond(self._make_response(message, 200))  # of an early dialog (15)
+                transaction.respond(self._make_response(message, 200))  # BYE of an early dialog (15)
                 self._abandon_call(early_calls[0])
                 return
             transaction.respond(self._make_response(message, 481))
             return
         sequence_number = message.cseq[0]
-        if sequence_number <= side.dialog.remote_sequence_number:  # out of order (12.2.2)
+        if sequence_number <= side.dialog.remote_sequence_number:  # out of order or repeated (12.2.2)
             transaction.respond(self._make_response(message, 500, ("retry-after", "1")))
             return
         if flow.reliable:
@@ -552,8 +563,9 @@
             self._end_call(side.call, release_cause(message), side)
 
     def _forward_reinvite(self, side: DialogSide, transaction: ServerTransaction) -> None:
+        """Forwards a re-INVITE to the other peer; refuses it while another one is pending."""
         message, peer_side = transaction.request, side.peer_side
-        if side.incoming_reinvite is not None:  # a second one before the first was answered (14.2)
+        if side.incoming_reinvite is not None:  # a second one before the final response to the first (14.2)
             retry_after_s = str(self.random.randint(0, 10))
             transaction.respond(self._make_response(message, 500, ("retry-after", retry_after_s)))
             return
@@ -598,9 +610,8 @@
             self._forward_cancel(side)
             return
         if received_response.status < 300:
-            if (
-                transaction.final_response_sent
-            ):  # its ACK got lost, or the call is over by now: acknowledged all the same
+            # a retransmission whose ACK was lost, or the call has ended: still to be acknowledged
+            if transaction.final_response_sent:
                 if (
                     peer_side.last_ack is not None
                     and peer_side.last_ack.cseq[0] == peer_side.dialog.invite_sequence_number
@@ -632,19 +643,19 @@
             else []
         )
         transaction.respond(self._make_response(original_reinvite, received_response.status, *retry_headers))
-        if received_response.status in (408, 481) or not received_response.get(
-            "via"
-        ):  # that leg is gone (12.2.1.2)
+        # the dialog no longer exists at the peer (12.2.1.2)
+        if received_response.status in (408, 481) or not received_response.get("via"):
             self._end_call(side.call, CAUSE_CUT, peer_side)
 
     def _cancel_reinvite(self, reinvite: ServerTransaction) -> None:
-        """CANCEL goes on to the other side; the final answer is whatever comes back from there."""
+        """Forwards CANCEL to the other peer, whose final response then ends the re-INVITE."""
         for side in list(self.dialog_sides.values()):
             if side.incoming_reinvite is reinvite:
                 side.cancel_pending = True
                 self._forward_cancel(side)
 
     def _forward_cancel(self, side: DialogSide) -> None:
+        """Sends a pending CANCEL of a re-INVITE once a provisional response has arrived."""
         forwarded_reinvite = side.forwarded_reinvite
         if (
             side.cancel_pending
@@ -658,9 +669,10 @@
                 lambda message: None,
             )
 
-    # --- the end of a call ---
+    # --- end of a call ---
 
     def _send_bye(self, side: DialogSide, cause: int) -> None:
+        """Ends a dialog with BYE; towards a caller only after the ACK of our 2xx."""
         if side.dialog.terminated:
             return
         if side.unacknowledged >= 0 and side.is_caller:  # not before the ACK of the 2xx (15)
@@ -674,7 +686,7 @@
         self._start_client_transaction(flow, bye, lambda message: None)
 
     def _close_side(self, side: DialogSide) -> None:
-        """The leg is over: a re-INVITE still open there gets its final answer first (15.1.2)."""
+        """Removes a dialog that has ended; its pending re-INVITE gets a final response first (15.1.2)."""
         side.dialog.terminated = True
         side.unacknowledged = -1
         if side.incoming_reinvite is not None:
@@ -688,21 +700,22 @@
         self._forget_if_ended(side.call)
 
     def _forget_if_ended(self, call: SipCall) -> None:
+        """Removes a call that has its final response and no dialog left."""
         sides = [known_side for known_side in (call.caller_side, call.hub_side) if known_side is not None]
         pending = not call.invite_transaction.final_response_sent or any(
             not side.dialog.terminated for side in sides
         )
         if not pending:
             for leg in call.legs.values():
-                # guards a hub against ringing on for nobody: over TCP the ACK of our 487 ends the caller's
-                # transaction at once, and where the core is busy its word comes after that
+                # Otherwise the hub would ring on: over TCP the ACK of our 487 ends the transaction of the
+                # caller at once, and the cancel of a busy core arrives after the call has been removed.
                 if not leg.sides:
                     self._cancel_leg(leg)
             self.calls.pop(call.key, None)
             self.merge_keys.discard(call.merge_key)
 
     def _end_call(self, call: SipCall, cause: int, ended_side: DialogSide | None) -> None:
-        """Ends both legs; `gone` is the one that ended it, or can't be reached. The core is told once."""
+        """Ends both dialogs and notifies the core once; `ended_side` has ended already or is unreachable."""
         for side in (call.caller_side, call.hub_side):
             if side is not None and not side.dialog.terminated:
                 if side is ended_side:
@@ -726,40 +739,39 @@
         for call in list(self.calls.values()):
             if call.caller_side is not None or call.hub_side is not None:
                 self._end_call(call, CAUSE_CUT, None)
-            elif not call.invite_transaction.final_response_sent:  # it came when the core had ended already
+            elif not call.invite_transaction.final_response_sent:  # it arrived after the core had ended
                 self.refuse_call(call, self.settings.max_retry_advice_ms, Why.TURNED_AWAY)
         self.all_released = True
 
     def flow_lost(self, flow: Flow) -> None:
-        """A connection closed, was reset, or never came up.
+        """Handles a connection that was closed, was reset, or could not be made.
 
-        What awaited a response on it has failed. A dialog belongs to no connection; but its peer may be gone,
-        and then nobody would ever end the call: each such leg is asked on a new connection.
+        Pending requests on it have failed. A dialog does not depend on a connection, but if its peer is gone,
+        nobody would ever end the call: each such peer is checked with OPTIONS on a new connection.
         """
         for transaction in list(self.client_transactions.values()):
             if transaction.flow is flow:
                 transaction.transport_failed()
-        for server_transaction in list(
-            self.server_transactions.values()
-        ):  # the final answer itself could not be brought
+        for server_transaction in list(self.server_transactions.values()):
             if not isinstance(server_transaction.flow, ResponseFlow):
                 continue
             if (
                 server_transaction.flow.request_flow is flow
                 and server_transaction.state is TransactionState.COMPLETED
             ):
-                # guards a refusal written into a connection just being closed
+                # the response may have been written to a connection that was closing: send it again
                 server_transaction.request_retransmitted()
-            if server_transaction.flow.fallback_flow is flow:
+            if server_transaction.flow.fallback_flow is flow:  # the final response is not deliverable
                 call = self.early_calls.get(server_transaction.key)
                 if call is not None and call.caller_side is not None:
                     self._end_call(call, CAUSE_CUT, call.caller_side)
         for side in list(self.dialog_sides.values()):
-            awaiting_ack = side.unacknowledged >= 0  # its 2xx is sent again anyhow, on a new connection
+            awaiting_ack = side.unacknowledged >= 0  # its 2xx is retransmitted on a new connection anyway
             if side.dialog.flow is flow and not side.dialog.terminated and not awaiting_ack:
                 self._check_peer(side)
 
     def _check_peer(self, side: DialogSide) -> None:
+        """Sends OPTIONS within the dialog and ends the call if the peer is not reachable."""
         if side.checking_peer:
             return
         side.checking_peer = True
@@ -771,7 +783,7 @@
             unreachable = message.status in (408, 481) or not message.get("via")
             if unreachable and not side.dialog.terminated:
                 peer_name = "caller" if side.is_caller else "lab hub"
-                say(f"call {side.call.key}: the {peer_name} can't be reached any more")
+                say(f"call {side.call.key}: the {peer_name} is unreachable, ending the call")
                 self._end_call(side.call, CAUSE_CUT, side)
 
         flow = self._dialog_flow(side.dialog)
