--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -1,4 +1,4 @@
-"""The SIP front: the program is started and spoken to by stand-in callers and hubs, over UDP and TCP."""
+"""The SIP front, driven by simulated callers and hubs over UDP and TCP."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.scenario import PATIENCE_S, play
 from tests.scenario_sip import Party, SipStage, operator_file
 
-STANDS = """
+ESTABLISHED_CALL = """
         caller send INVITE a
         hub1 expect INVITE a
         hub1 send 180 a
@@ -27,13 +27,13 @@
         caller send ACK a
 """
 SCENARIOS = {
-    "a call from INVITE to the caller's BYE": STANDS + """
+    "a call from INVITE to the caller's BYE": ESTABLISHED_CALL + """
         caller send BYE a
         caller expect 200 a
         hub1 expect BYE a Reason:Q.850;cause=16
         hub1 send 200 a of=BYE
     """,
-    "a call ended by its hub": STANDS + """
+    "a call ended by its hub": ESTABLISHED_CALL + """
         hub1 send BYE a Reason:Q.850;cause=41
         hub1 expect 200 a
         caller expect BYE a Reason:Q.850;cause=41
@@ -53,7 +53,7 @@
         caller send ACK a
         caller expect BYE a
     """,
-    "an INVITE again is no new call: before and after 1xx, and after the final response": """
+    "a retransmitted INVITE is no new call: before and after 1xx, and after the final response": """
         caller send INVITE a
         caller expect 100 a
         caller again a
@@ -88,7 +88,7 @@
         hub1 expect ACK a
         caller wait 200
     """,
-    "CANCEL before the hub has said anything waits for its provisional response": """
+    "CANCEL before any response of the hub waits for its provisional response": """
         caller send INVITE a
         hub1 expect INVITE a
         caller send CANCEL a
@@ -102,7 +102,7 @@
         hub1 send 487 a
         hub1 expect ACK a
     """,
-    "an answer that crosses CANCEL is acknowledged and released": """
+    "a 2xx that crosses CANCEL is acknowledged and released": """
         caller send INVITE a
         hub1 expect INVITE a
         hub1 send 180 a
@@ -118,7 +118,7 @@
         hub1 expect BYE a
         caller wait 200
     """,
-    "a refusal says when to come back": """
+    "a refusal has Retry-After": """
         caller send INVITE a
         hub1 expect INVITE a
         hub1 send 503 a X-Note:ovl
@@ -128,7 +128,7 @@
         hub1 wait 300
         hub2 wait 10
     """,
-    "busy stays busy, whatever its Subject": """
+    "486 is forwarded as 486, whatever the Subject of the call": """
         caller send INVITE a Subject:hello
         hub1 expect INVITE a
         hub1 send 486 a
@@ -136,7 +136,7 @@
         caller expect 486 a
         caller send ACK a
     """,
-    "a hub that queues past the deadline is cancelled, and the caller is told": """
+    "a hub that queues past the deadline is cancelled, and the caller gets 408": """
         caller send INVITE a X-Patience:900
         hub1 expect INVITE a
         hub1 send 100 a
@@ -148,7 +148,7 @@
         caller send ACK a
         hub1 wait 320
     """,
-    "re-INVITE passes both ways": STANDS + """
+    "re-INVITE is forwarded both ways": ESTABLISHED_CALL + """
         caller send INVITE a
         hub1 expect INVITE a CSeq:2
         hub1 send 200 a
@@ -167,7 +167,7 @@
         caller expect 200 a
         hub1 expect BYE a
     """,
-    "CANCEL of a re-INVITE goes on, and the call stands": STANDS + """
+    "CANCEL of a re-INVITE is forwarded, and the call stays established": ESTABLISHED_CALL + """
         caller send INVITE a
         hub1 expect INVITE a
         hub1 send 180 a
@@ -183,7 +183,7 @@
         hub1 expect 200 a
         caller expect BYE a
     """,
-    "a re-INVITE answered after the call is over is acknowledged": STANDS + """
+    "a 2xx to a re-INVITE after the end of the call is acknowledged": ESTABLISHED_CALL + """
         caller send INVITE a
         hub1 expect INVITE a
         hub1 send 180 a
@@ -195,14 +195,14 @@
         hub1 send 200 a of=INVITE
         hub1 expect ACK a
     """,
-    "re-INVITEs that cross: 491": STANDS + """
+    "re-INVITEs that cross: 491": ESTABLISHED_CALL + """
         caller send INVITE a
         hub1 expect INVITE a
         hub1 send INVITE a
         hub1 expect 491 a
         hub1 send ACK a
     """,
-    "what belongs to no call": """
+    "requests that belong to no call, and requests that are refused": """
         caller send BYE x
         caller expect 481 x
         caller send CANCEL y
@@ -222,14 +222,14 @@
         caller expect 400 m
         hub1 wait 10
     """,
-    "the same call by another way is merged": """
+    "a copy of the INVITE by another path is refused with 482": """
         caller send INVITE a
         hub1 expect INVITE a
         hub1 send 180 a
         caller send INVITE a branch=z9hG4bKother cseq=1
         caller expect 482 a
     """,
-    "malformed is 400, another version 505": """
+    "malformed requests get 400, another version 505": """
         caller send INVITE v version=3.0
         caller expect 505 v
         caller send INVITE w drop=from
@@ -239,7 +239,7 @@
         caller send OPTIONS o
         caller expect 200 o
     """,
-    "stopped: no call is left standing": STANDS + """
+    "a stopped program releases its calls": ESTABLISHED_CALL + """
         program stop
         caller expect BYE a Reason:Q.850;cause=41
         caller send 200 a of=BYE
@@ -249,7 +249,7 @@
     """,
 }  # fmt: skip
 TCP_ONLY = {
-    "the caller's connection closes during the set-up: its answer comes on a new one": """
+    "the caller's connection closes during the set-up: the answer is sent on a new one": """
         caller send INVITE a
         hub1 expect INVITE a
         caller close
@@ -259,11 +259,11 @@
         caller send ACK a
         hub1 wait 100
     """,
-    "a caller that is gone after the answer leaves no call": STANDS + """
+    "a caller that is unreachable after the answer: the call is released": ESTABLISHED_CALL + """
         caller gone
         hub1 expect BYE a Reason:Q.850;cause=41
     """,
-    "a connection that closes while the call stands does not end it": STANDS + """
+    "a connection that closes does not end an established call": ESTABLISHED_CALL + """
         caller close
         caller expect OPTIONS a
         caller send 200 a of=OPTIONS
@@ -281,7 +281,7 @@
         hub2 send 200 b
         caller expect 200 a
     """,
-    "the hub's connection is reset during a re-INVITE": STANDS + """
+    "the hub's connection is reset during a re-INVITE": ESTABLISHED_CALL + """
         caller send INVITE a
         hub1 expect INVITE a
         hub1 reset
@@ -290,35 +290,37 @@
         caller expect BYE a
         caller wait 100
     """,
-    "the caller's connection is reset during its re-INVITE, and it is gone": STANDS + """
+    "the caller's connection is reset during its re-INVITE, and it is unreachable": ESTABLISHED_CALL + """
         caller send INVITE a
         hub1 expect INVITE a
         caller gone
         hub1 expect BYE a Reason:Q.850;cause=41
     """,
 }  # fmt: skip
-CASES = [(t, name, s) for name, s in SCENARIOS.items() for t in ("udp", "tcp")]
-CASES += [("tcp", name, s) for name, s in TCP_ONLY.items()]
+CASES = [(transport, name, scenario) for name, scenario in SCENARIOS.items() for transport in ("udp", "tcp")]
+CASES += [("tcp", name, scenario) for name, scenario in TCP_ONLY.items()]
 
 
 @pytest.mark.parametrize(
-    ("transport", "scenario"), [(t, s) for t, _, s in CASES], ids=[f"{t}: {n}" for t, n, _ in CASES]
+    ("transport", "scenario"),
+    [(transport, scenario) for transport, _, scenario in CASES],
+    ids=[f"{transport}: {name}" for transport, name, _ in CASES],
 )
-def test_sip(transport: str, scenario: str, tmp_path: Path) -> None:
-    stage = SipStage(tmp_path, transport)
+def test_sip_scenario(transport: str, scenario: str, tmp_path: Path) -> None:
+    environment = SipStage(tmp_path, transport)
     try:
-        play(stage, scenario)
+        play(environment, scenario)
     finally:
-        log = stage.end()
+        log = environment.end()
         print(log)
     assert "Traceback" not in log, log
 
 
-Told = TypeVar("Told")
+EventType = TypeVar("EventType")
 
 
-class Wireside(SipStage):
-    """The language without the program: the front runs in this process, and the test plays the core."""
+class InProcessFront(SipStage):
+    """Runs the front in this process, without the program; the test takes the place of the core."""
 
     def __init__(self, transport: str) -> None:
         self.transport, self.port = transport, free_port()
@@ -329,25 +331,25 @@
         self.front = SipFront(operator.sip, operator.settings, self.inbox, 1)
         self.front.start()
 
-    def told(self, kind: type[Told]) -> Told:
-        """The next event of that kind that the core is told; others are passed over."""
-        until = now_ms() + PATIENCE_S * 1000
-        while now_ms() < until:
-            for event in self.inbox.take(until):
-                if isinstance(event, kind):
+    def next_event(self, event_type: type[EventType]) -> EventType:
+        """Returns the next event of this type that the front reports to the core; skips others."""
+        deadline_ms = now_ms() + PATIENCE_S * 1000
+        while now_ms() < deadline_ms:
+            for event in self.inbox.take(deadline_ms):
+                if isinstance(event, event_type):
                     return event
-        raise AssertionError(f"no {kind.__name__}")
+        raise AssertionError(f"no {event_type.__name__} event was reported")
 
 
 @pytest.mark.parametrize("transport", ["udp", "tcp"])
-def test_a_slow_core_leaves_no_hub_ringing_for_a_caller_that_gave_up(transport: str) -> None:
-    """The ACK of 487 ends the caller's transaction before the core has heard of the CANCEL."""
-    stage = Wireside(transport)
-    play(stage, "caller send INVITE a")
-    attempt = Attempt(stage.told(Offer), 0, b"hub1", now_ms(), now_ms() + 5000)
-    stage.front.set_up(attempt)
+def test_a_slow_core_leaves_no_hub_ringing_for_a_cancelled_call(transport: str) -> None:
+    """The ACK of the 487 ends the transaction of the caller before the core has handled the CANCEL."""
+    environment = InProcessFront(transport)
+    play(environment, "caller send INVITE a")
+    attempt = Attempt(environment.next_event(Offer), 0, b"hub1", now_ms(), now_ms() + 5000)
+    environment.front.set_up(attempt)
     play(
-        stage,
+        environment,
         """
         hub1 expect INVITE a
         hub1 send 180 a
@@ -359,11 +361,11 @@
         caller send OPTIONS b
         caller expect 200 b
     """,
-    )  # the front has taken the ACK
-    stage.told(Withdrawn)
-    stage.front.cancel(attempt)  # only now
+    )  # the response to OPTIONS shows that the front has handled the ACK
+    environment.next_event(Withdrawn)
+    environment.front.cancel(attempt)
     play(
-        stage,
+        environment,
         """
         hub1 expect CANCEL a
         hub1 send 200 a of=CANCEL
@@ -371,5 +373,5 @@
         hub1 expect ACK a
     """,
     )
-    for party in stage.parties.values():
+    for party in environment.parties.values():
         party.sock.close()
