--- a/landingdeal/sip/call.py
+++ b/landingdeal/sip/call.py
@@ -20,7 +20,7 @@
 
     def answer_call(self, call: SipCall, description: bytes) -> None: ...
 
-    def refuse_call(self, call: SipCall, retry_after_ms: float, why: Why) -> None: ...
+    def refuse_call(self, call: SipCall, retry_after_ms: float, reason: Why) -> None: ...
 
     def release_caller(self, call: SipCall, cause: int) -> None: ...
 
@@ -59,6 +59,7 @@
 
     @property
     def origin(self) -> object:
+        """Identifies the source of the call: here each call has its own."""
         return self.call
 
     def reachable(self) -> bool:
@@ -67,8 +68,10 @@
     def answer(self, description: bytes) -> None:
         self.operations.event_loop.post(lambda: self.operations.answer_call(self.call, description))
 
-    def refuse(self, retry_after_ms: float, why: Why) -> None:
-        self.operations.event_loop.post(lambda: self.operations.refuse_call(self.call, retry_after_ms, why))
+    def refuse(self, retry_after_ms: float, reason: Why) -> None:
+        self.operations.event_loop.post(
+            lambda: self.operations.refuse_call(self.call, retry_after_ms, reason)
+        )
 
     def release(self, cause: int) -> None:
         self.operations.event_loop.post(lambda: self.operations.release_caller(self.call, cause))
@@ -80,9 +83,7 @@
     def __init__(self, call: SipCall, dialog: Dialog, is_caller: bool) -> None:
         self.call, self.dialog, self.is_caller = call, dialog, is_caller
         self.incoming_reinvite: ServerTransaction | None = None  # the pending re-INVITE from this peer
-        self.forwarded_reinvite: ClientTransaction | None = (
-            None  # that re-INVITE, forwarded to the other peer
-        )
+        self.forwarded_reinvite: ClientTransaction | None = None  # the same, sent to the other peer
         self.cancel_pending = False  # its CANCEL waits for a provisional response
         self.unacknowledged = -1  # sequence number of the INVITE whose 2xx from us has no ACK yet; -1: none
         self.deferred_bye_cause = -1  # cause of a BYE that has to wait for that ACK; -1: none
@@ -102,7 +103,7 @@
         self.call, self.attempt, self.hub = call, attempt, hub
         self.transaction: ClientTransaction | None = None
         self.provisional_received = self.cancelled = self.occupies_circuit = False
-        self.sides: dict[str, DialogSide] = {}  # by the hub's tag: a hub that forks sends several
+        self.sides: dict[str, DialogSide] = {}  # by the To tag of the 2xx: a fork sends several
 
 
 class SipCall:
--- a/landingdeal/sip/endpoint.py
+++ b/landingdeal/sip/endpoint.py
@@ -181,16 +181,8 @@
         try:
             first_via, *other_vias = split_unquoted(message.get("via"), ",")
             via = parse_via(first_via)
-            from_address, to_address = (
-                parse_name_addr(message.get("from")),
-                parse_name_addr(message.get("to")),
-            )
-            if (
-                not from_address.uri
-                or not to_address.uri
-                or not from_address.tag
-                and via.branch.startswith(MAGIC_COOKIE)
-            ):
+            sender, recipient = parse_name_addr(message.get("from")), parse_name_addr(message.get("to"))
+            if not sender.uri or not recipient.uri or not sender.tag and via.branch.startswith(MAGIC_COOKIE):
                 raise AddressError("From or To")
             max_forwards = message.get("max-forwards", "70").strip()
             if not (max_forwards.isascii() and max_forwards.isdecimal() and int(max_forwards) <= 255):
@@ -207,7 +199,7 @@
         index = next(position for position, (name, _) in enumerate(message.headers) if name == "via")
         headers = (*message.headers[:index], ("via", via_value), *message.headers[index + 1 :])
         message = replace(message, headers=headers)
-        key = self._branch_key(message, via, from_address.tag)
+        key = self._branch_key(message, via, sender.tag)
         flow = ResponseFlow(self, received, via)
         if message.method == "ACK":
             self.new_ack(message, key, received.flow)
@@ -221,7 +213,7 @@
             return
         transaction = ServerTransaction(self, flow, message, f"{key}|{message.method}")
         self.server_transactions[transaction.key] = transaction
-        self.new_request(transaction, key, to_address.tag, received.flow)
+        self.new_request(transaction, key, recipient.tag, received.flow)
 
     @staticmethod
     def _branch_key(message: Message, via: Via, from_tag: str) -> str:
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -210,18 +210,12 @@
             for call_class in self.settings.classes
             if call_class.name == self._class_name(message)
         )
-        patience_value = message.get("x-patience") or None
-        expires_value = message.get("expires") or None
-        patience_ms = (
-            float(patience_value)
-            if patience_value
-            else float(expires_value) * 1000
-            if expires_value
-            else max_patience_ms
-        )
-        if not 0 < patience_ms < 1e12:
+        stated = message.get("x-patience") or None
+        expires = message.get("expires") or None
+        patience = float(stated) if stated else float(expires) * 1000 if expires else max_patience_ms
+        if not 0 < patience < 1e12:
             raise ValueError("patience")
-        return min(patience_ms, max_patience_ms)
+        return min(patience, max_patience_ms)
 
     def _handle_cancel(self, transaction: ServerTransaction, branch_key: str) -> None:
         invite = self.server_transactions.get(f"{branch_key}|INVITE")
@@ -306,7 +300,7 @@
         schedule_retransmit(self.timing.t1)
         self.schedule_at(self.now() + self.timing.transaction_timeout, on_ack_timeout)
 
-    def refuse_call(self, call: SipCall, retry_after_ms: float, why: Why) -> None:
+    def refuse_call(self, call: SipCall, retry_after_ms: float, reason: Why) -> None:
         retry_headers = []
         if retry_after_ms > 0:
             retry_headers = [
@@ -316,7 +310,7 @@
         call.invite_transaction.respond(
             self._make_response(
                 call.invite_transaction.request,
-                STATUS_BY_REFUSAL_REASON.get(why, 503),
+                STATUS_BY_REFUSAL_REASON.get(reason, 503),
                 *retry_headers,
                 local_tag=call.local_tag,
             )
@@ -376,15 +370,15 @@
         if leg.cancelled:
             return
         transaction = leg.transaction
-        ending, reason = OUTCOMES_BY_STATUS.get(message.status, Ending.ERROR), rejection_reason(message)
+        outcome, reason = OUTCOMES_BY_STATUS.get(message.status, Ending.ERROR), rejection_reason(message)
         if not message.get("via") and message.status == 503:  # the transport failed
             connected = transaction is None or transaction.flow.was_connected
-            ending = Ending.CUT if connected else Ending.UNREACHABLE
+            outcome = Ending.CUT if connected else Ending.UNREACHABLE
         elif message.status == 503 and reason is Reason.NONE:
             reason = Reason.PROCESSOR_FULL
         elif message.status in BUSY_STATUSES:
             reason = Reason.LINES_BUSY
-        self.inbox.tell(Ended(leg.attempt, ending, reason, load_values(message, self.settings)))
+        self.inbox.tell(Ended(leg.attempt, outcome, reason, load_values(message, self.settings)))
 
     def _handle_2xx(self, leg: HubLeg, message: Message) -> None:
         transaction, call = leg.transaction, leg.call
@@ -483,8 +477,10 @@
                 Figure.FREE_CIRCUITS: hub.circuits - self.used_circuits[hub.name],
                 Figure.GROUP_SIZE: hub.circuits,
             }
-            figures = tuple(float(values_by_field.get(figure, -1)) for figure in self.settings.figures)
-            self.inbox.tell(GroupState(hub.name, figures))
+            reported_values = tuple(
+                float(values_by_field.get(load_field, -1)) for load_field in self.settings.figures
+            )
+            self.inbox.tell(GroupState(hub.name, reported_values))
 
     def _send_probe(self, name: bytes, deadline_ms: float) -> None:
         hub, sent_ms = self.hubs[name], self.now()
@@ -523,10 +519,10 @@
         if isinstance(
             flow, PlaybackFlow
         ):  # a recorded request has the To tag of the recorded answer, not ours
-            known = [
+            matching_sides = [
                 side for key, side in self.dialog_sides.items() if key[::2] == (message.call_id, remote_tag)
             ]
-            return known[0] if known else None
+            return matching_sides[0] if matching_sides else None
         return self.dialog_sides.get((message.call_id, local_tag, remote_tag))
 
     def _handle_in_dialog_request(self, transaction: ServerTransaction, to_tag: str, flow: Flow) -> None:
--- a/landingdeal/sip/headers.py
+++ b/landingdeal/sip/headers.py
@@ -45,14 +45,14 @@
     A field that the header does not name, or whose value is not a number, is -1.
     Without the header the result is empty.
     """
-    text = message.get("x-state")
-    if not text:
+    report = message.get("x-state")
+    if not report:
         return ()
     reported: dict[Figure, float] = {}
-    for part in text.split(";"):
+    for part in report.split(";"):
         name, _, value = part.partition(":")
         try:
             reported[LOAD_FIELD_NAMES.get(name.strip(), Figure.UNKNOWN)] = float(value)
         except ValueError:
             continue
-    return tuple(reported.get(figure, -1.0) for figure in settings.figures)
+    return tuple(reported.get(load_field, -1.0) for load_field in settings.figures)
