--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -12,31 +12,31 @@
 from badgerstile.interface import (
     Action,
     AttemptEnded,
+    AttemptOutcome,
+    CallAbandoned,
     CallClass,
-    CallerLeft,
+    CallEstablished,
     CallOffered,
-    CallStands,
-    Ending,
     Event,
+    ExchangeEntry,
     ExchangeList,
-    Figure,
-    FollowList,
-    GiveUp,
+    FailCall,
     Health,
-    Listed,
     ListKind,
+    LoadField,
+    LoadReporting,
     PeerMessage,
     Probe,
-    Reason,
     Refuse,
-    Repeat,
+    RejectionReason,
     Report,
-    Reports,
+    RetryPolicy,
+    SendPeerMessage,
+    SetTimer,
     Settings,
     SetUp,
-    Tell,
-    WakeAt,
-    Woken,
+    TimerFired,
+    WatchList,
 )
 
 STALL_MS = 100.0  # a wake so much later than asked: this softswitch itself stood still
@@ -75,7 +75,7 @@
 class FarEnd:
     """One exchange as seen from here: its place in the list, its circuits, its shares and its silence."""
 
-    def __init__(self, entry: Listed) -> None:
+    def __init__(self, entry: ExchangeEntry) -> None:
         self.exchange = entry.exchange
         self.number = entry.number
         self.health = entry.health
@@ -205,11 +205,11 @@
                 self._list(event, now)
             case CallOffered():
                 self._offered(event, now)
-            case CallStands():
+            case CallEstablished():
                 self._stands(event, now)
             case AttemptEnded():
                 self._ended(event, now)
-            case CallerLeft(name):
+            case CallAbandoned(name):
                 call = self.calls.pop(name, None)
                 if call is not None:
                     self._got_nowhere(call)
@@ -217,14 +217,14 @@
                 self._report(event, now)
             case PeerMessage(sender, payload):
                 self._message(sender, payload, now)
-            case Woken():
+            case TimerFired():
                 self.ticking = False
                 self._tick(now)
             case _:
                 pass
         if not self.ticking:
             self.ticking, self.due = True, now + TICK_MS
-            self.actions.append(WakeAt(now + TICK_MS, 0))
+            self.actions.append(SetTimer(now + TICK_MS, 0))
         return self.actions
 
     # --- the list of exchanges ---
@@ -232,7 +232,7 @@
     def _ask_list(self) -> None:
         self.ask_list_at = None
         if self.set.list_on_request:
-            self.actions.append(FollowList())  # always answered, by a list or by a failure
+            self.actions.append(WatchList())  # always answered, by a list or by a failure
 
     def _list(self, event: ExchangeList, now: float) -> None:
         if event.kind is ListKind.FAILED:
@@ -251,8 +251,8 @@
             named = {entry.exchange for entry in event.entries}
             for exchange, far in self.far.items():
                 if exchange not in named:
-                    far.health = Health.GONE
-        gone = [far for far in self.far.values() if far.health is Health.GONE and not far.waiting]
+                    far.health = Health.REMOVED
+        gone = [far for far in self.far.values() if far.health is Health.REMOVED and not far.waiting]
         for far in gone[:-GONE_MOST]:  # those that were met first
             del self.far[far.exchange]
         self._index()
@@ -270,14 +270,16 @@
 
     def _figures(self, far: FarEnd, figures: tuple[float, ...], now: float) -> None:
         told = dict(zip(self.set.figures, figures, strict=False))
-        if told.get(Figure.FREE_CIRCUITS, -1) >= 0:
+        if told.get(LoadField.FREE_CIRCUITS, -1) >= 0:
             taken = far.sent_width if far.sent_at == now else 0  # sent since this figure was true
-            far.free = max(int(told[Figure.FREE_CIRCUITS]) - taken, 0)
-            far.size = told.get(Figure.GROUP_SIZE, far.size)
+            far.free = max(int(told[LoadField.FREE_CIRCUITS]) - taken, 0)
+            far.size = told.get(LoadField.GROUP_SIZE, far.size)
         share = -1.0
-        if told.get(Figure.HOLD_BACK, -1) >= 0:
-            share = told[Figure.HOLD_BACK]
-        wait = max(told.get(Figure.WAIT_MS, -1.0), told.get(Figure.QUEUE, -1.0) * self.step_ms / 10)
+        if told.get(LoadField.HOLD_BACK, -1) >= 0:
+            share = told[LoadField.HOLD_BACK]
+        wait = max(
+            told.get(LoadField.WAIT_MS, -1.0), told.get(LoadField.QUEUE_LENGTH, -1.0) * self.step_ms / 10
+        )
         if wait >= 0:
             share = max(share, self._share_of_wait(wait))
             self._heed(far, wait, now)
@@ -453,11 +455,11 @@
         del self.calls[call.id]
         self._got_nowhere(call)
         advice = self.set.max_retry_advice_ms if self.set.retry_advice else 0.0
-        self.actions.append(GiveUp(call.id, advice) if self._spent(call) else Refuse(call.id, advice))
+        self.actions.append(FailCall(call.id, advice) if self._spent(call) else Refuse(call.id, advice))
 
     def _spent(self, call: Call) -> bool:
         """The call may have run, and is of a class that must not run twice."""
-        return call.may_have_run and self._kind(call.kind).repeat is not Repeat.FREE
+        return call.may_have_run and self._kind(call.kind).repeat is not RetryPolicy.FREE
 
     # --- messages: which second legs have room, asked of the destination, which knows its own groups ---
 
@@ -471,7 +473,7 @@
         if now - to.asked_at >= LEGS_LIFE_MS:
             to.asked_at, to.unheard = now, to.unheard + 1
             slot = self.slots.get(to.number, to.number)
-            self.actions.append(Tell(slot, struct.pack(">cH", b"?", to.number)))
+            self.actions.append(SendPeerMessage(slot, struct.pack(">cH", b"?", to.number)))
         return to.unheard <= 2 and now - to.asked_at < ASKED_MS
 
     def _message(self, sender: int, payload: bytes, now: float) -> None:
@@ -483,7 +485,7 @@
             ready = [f for f in self.at.values() if f.size > 0 and f.number != self.set.here]
             ready.sort(key=lambda far: -far.free)
             told = [struct.pack(">HB", f.number, min(f.free, 255)) for f in ready[:LEGS_MOST]]
-            self.actions.append(Tell(sender, struct.pack(">cH", b"!", number) + b"".join(told)))
+            self.actions.append(SendPeerMessage(sender, struct.pack(">cH", b"!", number) + b"".join(told)))
         elif kind == b"!" and len(payload) % 3 == 0 and number in self.at:
             far = self.at[number]
             far.legs = dict(struct.iter_unpack(">HB", payload[3:]))
@@ -511,7 +513,7 @@
 
     # --- what comes back ---
 
-    def _stands(self, event: CallStands, now: float) -> None:
+    def _stands(self, event: CallEstablished, now: float) -> None:
         call = self.calls.pop(event.call, None)
         far = self.far.get(event.exchange)
         if far is None:
@@ -556,19 +558,19 @@
         self._figures(far, event.report, now)
         sent = far.waiting.pop(event.call, None)
         direct = call is None or call.number == far.number
-        full = event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.TURNED_BACK
-        late = full or event.ending is Ending.TIMED_OUT
+        full = event.reason is RejectionReason.PROCESSOR_FULL and event.ending is AttemptOutcome.TURNED_BACK
+        late = full or event.ending is AttemptOutcome.TIMED_OUT
         if late and direct:  # it would have waited at least so long
             waited = max(event.latency_ms, far.latency, self.base_latency + WAIT_HIGH * self.step_ms)
             self._latency(far, waited, now)
         if far.trial == event.call:
             far.trial = None
-        broken = event.ending in (Ending.UNREACHABLE, Ending.CUT)
+        broken = event.ending in (AttemptOutcome.UNREACHABLE, AttemptOutcome.CUT)
         died = broken and sent is not None and far.last_answer < sent
-        if died or far.died and event.ending is Ending.TIMED_OUT:
-            if direct or event.ending is not Ending.CUT:
+        if died or far.died and event.ending is AttemptOutcome.TIMED_OUT:
+            if direct or event.ending is not AttemptOutcome.CUT:
                 far.failed(now, self.step_ms)
-        elif event.ending is Ending.TURNED_BACK and not late or event.ending is Ending.ERROR:
+        elif event.ending is AttemptOutcome.TURNED_BACK and not late or event.ending is AttemptOutcome.ERROR:
             far.answered(now)  # the end of a standing call is no sign of life, nor a full processor's refusal
 
     def _go_on(self, far: FarEnd | None, call: Call, event: AttemptEnded, now: float) -> None:
@@ -578,20 +580,25 @@
             del self.calls[call.id]
             self._got_nowhere(call)
             return
-        if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
+        if event.ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
             call.not_before = now + self.set.release_ms
-        if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED, Ending.ERROR):
+        if event.ending in (
+            AttemptOutcome.TIMED_OUT,
+            AttemptOutcome.CUT,
+            AttemptOutcome.CANCELLED,
+            AttemptOutcome.ERROR,
+        ):
             call.may_have_run = True
         if far is not None and far.number != call.number:
             self._failed_over(far, call, now)
-        elif event.reason is Reason.NO_CIRCUIT and event.ending is not Ending.NOT_SENT:
+        elif event.reason is RejectionReason.NO_CIRCUIT and event.ending is not AttemptOutcome.NOT_SENT:
             call.tried.append(event.exchange)
-        if event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.NOT_SENT:
+        if event.reason is RejectionReason.PROCESSOR_FULL and event.ending is AttemptOutcome.NOT_SENT:
             self.own_down_until = now + 2 * self.step_ms  # the own processor is down: all calls wait for it
-        hopeless = event.ending is not Ending.NOT_SENT and event.reason in (
-            Reason.LINES_BUSY,
-            Reason.PROCESSOR_FULL,
-            Reason.TANDEM_FAR_FULL,
+        hopeless = event.ending is not AttemptOutcome.NOT_SENT and event.reason in (
+            RejectionReason.LINES_BUSY,
+            RejectionReason.PROCESSOR_FULL,
+            RejectionReason.TANDEM_FAR_FULL,
         )
         if hopeless or self._spent(call) or call.transit:
             self._turn_away(call)
@@ -629,8 +636,8 @@
     def _tick(self, now: float) -> None:
         if self.ask_list_at is not None and now > self.ask_list_at:
             self._ask_list()
-        if self.set.may_probe and self.set.reports is not Reports.NONE:
-            pull = self.set.reports is Reports.WHEN_PROBED
+        if self.set.may_probe and self.set.reports is not LoadReporting.NONE:
+            pull = self.set.reports is LoadReporting.WHEN_PROBED
             for far in self.far.values():
                 own = far.number == self.set.here  # which no other probes
                 every = PROBE_EVERY_MS if own else self.probe_ms
--- a/badgerstile/interface.py
+++ b/badgerstile/interface.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 
-class Repeat(Enum):
+class RetryPolicy(Enum):
     """What a class allows after an attempt that may have run."""
 
     FREE = "free"
@@ -18,7 +18,7 @@
     SINGLE_SHOT = "single_shot"
 
 
-class Reports(Enum):
+class LoadReporting(Enum):
     """Where figures of far processors are found."""
 
     WITH_ANSWERS = "with_answers"
@@ -26,34 +26,34 @@
     NONE = "none"
 
 
-class Figure(Enum):
+class LoadField(Enum):
     """A value that a load report can hold."""
 
     FREE_CIRCUITS = "free_circuits"
     GROUP_SIZE = "group_size"
-    IN_WORK = "in_work"
-    QUEUE = "queue"
-    BUSY = "busy"
+    CALLS_IN_PROGRESS = "in_work"
+    QUEUE_LENGTH = "queue"
+    UTILIZATION = "busy"
     WAIT_MS = "wait_ms"
-    ROOM_PER_S = "room_per_s"
+    CAPACITY_PER_S = "room_per_s"
     HOLD_BACK = "hold_back"
     UNKNOWN = "unknown"
 
 
 class Health(Enum):
-    GONE = 0
+    REMOVED = 0
     DRAINING = 1
     READY = 2
 
 
 class ListKind(Enum):
     CHANGES = 0
-    WHOLE = 1
-    REMEMBERED = 2
+    FULL = 1
+    CACHED = 2
     FAILED = 3
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended. TURNED_BACK, UNREACHABLE and NOT_SENT prove that it never ran."""
 
     ENDED = "ended"
@@ -66,7 +66,7 @@
     NOT_SENT = "not_sent"
 
 
-class Reason(Enum):
+class RejectionReason(Enum):
     """Why an attempt was turned back, where that is told."""
 
     NONE = "none"
@@ -86,7 +86,7 @@
     late_worth: float
     width: int
     hold_ms: float
-    repeat: Repeat = Repeat.FREE
+    repeat: RetryPolicy = RetryPolicy.FREE
     pools: tuple[int, ...] = ()
 
 
@@ -104,8 +104,8 @@
     may_message: bool
     retry_advice: bool
     max_retry_advice_ms: float
-    reports: Reports
-    figures: tuple[Figure, ...]
+    reports: LoadReporting
+    figures: tuple[LoadField, ...]
     list_on_request: bool
     ask_within_ms: float
     drain_grace_ms: float
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ExchangeEntry:
     """One line of the exchange list; `came_up_ms` is the start of its processor, 0 for long ago."""
 
     exchange: bytes
@@ -131,7 +131,7 @@
 @dataclass(frozen=True, slots=True)
 class ExchangeList:
     kind: ListKind
-    entries: tuple[Listed, ...] = ()
+    entries: tuple[ExchangeEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,7 +154,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallStands:
+class CallEstablished:
     call: int
     exchange: bytes
     attempt: int
@@ -168,16 +168,16 @@
     call: int
     exchange: bytes
     attempt: int
-    ending: Ending
+    ending: AttemptOutcome
     over: bool
     latency_ms: float
-    reason: Reason = Reason.NONE
+    reason: RejectionReason = RejectionReason.NONE
     says_wait_ms: float = 0.0
     report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallAbandoned:
     call: int
 
 
@@ -193,7 +193,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Woken:
+class TimerFired:
     token: int
 
 
@@ -205,7 +205,16 @@
     payload: bytes
 
 
-Event = ExchangeList | CallOffered | CallStands | AttemptEnded | CallerLeft | Report | Woken | PeerMessage
+Event = (
+    ExchangeList
+    | CallOffered
+    | CallEstablished
+    | AttemptEnded
+    | CallAbandoned
+    | Report
+    | TimerFired
+    | PeerMessage
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -222,7 +231,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class FailCall:
     """The simulator's wire has no come-back time for it; real callers are told."""
 
     call: int
@@ -235,7 +244,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPeerMessage:
     """A message of at most 256 bytes to the softswitch of this index."""
 
     to: int
@@ -243,19 +252,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WakeAt:
+class SetTimer:
     at_ms: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
+class WatchList:
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogMessage:
     text: str
 
 
-Action = SetUp | Refuse | GiveUp | Probe | Tell | WakeAt | FollowList | Say
+Action = SetUp | Refuse | FailCall | Probe | SendPeerMessage | SetTimer | WatchList | LogMessage
--- a/badgerstile/wire.py
+++ b/badgerstile/wire.py
@@ -12,32 +12,32 @@
 from badgerstile.interface import (
     Action,
     AttemptEnded,
+    AttemptOutcome,
+    CallAbandoned,
     CallClass,
-    CallerLeft,
+    CallEstablished,
     CallOffered,
-    CallStands,
-    Ending,
     Event,
+    ExchangeEntry,
     ExchangeList,
-    Figure,
-    FollowList,
-    GiveUp,
+    FailCall,
     Health,
-    Listed,
     ListKind,
+    LoadField,
+    LoadReporting,
+    LogMessage,
     PeerMessage,
     Probe,
-    Reason,
     Refuse,
-    Repeat,
+    RejectionReason,
     Report,
-    Reports,
-    Say,
+    RetryPolicy,
+    SendPeerMessage,
+    SetTimer,
     Settings,
     SetUp,
-    Tell,
-    WakeAt,
-    Woken,
+    TimerFired,
+    WatchList,
 )
 
 HEADER = struct.Struct(">IdII")
@@ -46,25 +46,29 @@
 MAX_BATCH = 256 * 1024 * 1024
 LINE = struct.Struct(">6sBBHBfd")
 FIGURES = {
-    "free": Figure.FREE_CIRCUITS,
-    "size": Figure.GROUP_SIZE,
-    "concurrent": Figure.IN_WORK,
-    "depth": Figure.QUEUE,
-    "load_share": Figure.BUSY,
-    "mean_ms": Figure.WAIT_MS,
-    "can_take": Figure.ROOM_PER_S,
-    "hold_back": Figure.HOLD_BACK,
+    "free": LoadField.FREE_CIRCUITS,
+    "size": LoadField.GROUP_SIZE,
+    "concurrent": LoadField.CALLS_IN_PROGRESS,
+    "depth": LoadField.QUEUE_LENGTH,
+    "load_share": LoadField.UTILIZATION,
+    "mean_ms": LoadField.WAIT_MS,
+    "can_take": LoadField.CAPACITY_PER_S,
+    "hold_back": LoadField.HOLD_BACK,
+}
+REPORTS = {
+    "piggyback": LoadReporting.WITH_ANSWERS,
+    "pull": LoadReporting.WHEN_PROBED,
+    "silent": LoadReporting.NONE,
 }
-REPORTS = {"piggyback": Reports.WITH_ANSWERS, "pull": Reports.WHEN_PROBED, "silent": Reports.NONE}
 ENDINGS = {
-    0: Ending.ENDED,
-    255: Ending.ERROR,
-    254: Ending.TURNED_BACK,
-    253: Ending.TIMED_OUT,
-    252: Ending.UNREACHABLE,
-    251: Ending.CUT,
-    250: Ending.CANCELLED,
-    249: Ending.NOT_SENT,
+    0: AttemptOutcome.ENDED,
+    255: AttemptOutcome.ERROR,
+    254: AttemptOutcome.TURNED_BACK,
+    253: AttemptOutcome.TIMED_OUT,
+    252: AttemptOutcome.UNREACHABLE,
+    251: AttemptOutcome.CUT,
+    250: AttemptOutcome.CANCELLED,
+    249: AttemptOutcome.NOT_SENT,
 }
 
 
@@ -157,7 +161,7 @@
                 late_worth=float(c.get("late_worth", 0.0)),
                 width=int(widths[k]) if k < len(widths) else 1,
                 hold_ms=float(holds[k]) if k < len(holds) else 0.0,
-                repeat=Repeat(c.get("effect") or "free"),
+                repeat=RetryPolicy(c.get("effect") or "free"),
                 pools=tuple(int(p) for p in skills[k] or ()) if k < len(skills) else (),
             )
             for k, c in enumerate(raw)
@@ -173,8 +177,8 @@
             may_message=bool(caps.get("peers", False)),
             retry_advice=bool(caps.get("retry_after", False)),
             max_retry_advice_ms=float(caps.get("max_retry_after_ms", 0.0)),
-            reports=REPORTS.get(report.get("how") or "silent", Reports.NONE),
-            figures=tuple(FIGURES.get(n, Figure.UNKNOWN) for n in report.get("names") or ()),
+            reports=REPORTS.get(report.get("how") or "silent", LoadReporting.NONE),
+            figures=tuple(FIGURES.get(n, LoadField.UNKNOWN) for n in report.get("names") or ()),
             list_on_request=info.get("discovery", "pushed") == "on_request",
             ask_within_ms=float(rules.get("ask_within_ms", 10000.0)),
             drain_grace_ms=float(rules["drain_grace_ms"]),
@@ -191,12 +195,14 @@
         raise WireError(f"settings hold a value that can't be used: {error}") from None
 
 
-def _reason(note: int, ending: Ending) -> tuple[Reason, float]:
+def _reason(note: int, ending: AttemptOutcome) -> tuple[RejectionReason, float]:
     if note & 15 == 3:
-        return Reason.PROCESSOR_FULL, float(note >> 4)
+        return RejectionReason.PROCESSOR_FULL, float(note >> 4)
     if note & 15 == 2:
-        return (Reason.TANDEM_FAR_FULL if note >> 4 else Reason.TANDEM), 0.0
-    return {1: Reason.NO_CIRCUIT, 4: Reason.LINES_BUSY}.get(note & 15, Reason.NONE), 0.0
+        return (RejectionReason.TANDEM_FAR_FULL if note >> 4 else RejectionReason.TANDEM), 0.0
+    return {1: RejectionReason.NO_CIRCUIT, 4: RejectionReason.LINES_BUSY}.get(
+        note & 15, RejectionReason.NONE
+    ), 0.0
 
 
 def _whole(value: float, name: str) -> int:
@@ -209,7 +215,7 @@
     """Decodes batches; keeps the numbered exchange lists, which belong to the whole process."""
 
     def __init__(self) -> None:
-        self.lists: dict[int, tuple[Listed, ...]] = {}
+        self.lists: dict[int, tuple[ExchangeEntry, ...]] = {}
 
     def batch(self, body: bytes, count: int) -> Iterator[tuple[int, Arrival]]:
         """Yields (instance, event) in order of arrival."""
@@ -242,11 +248,11 @@
         return inst, self._event(code, fields)
 
     @staticmethod
-    def _line(fields: _Fields) -> Listed:
+    def _line(fields: _Fields) -> ExchangeEntry:
         exchange, _zone, _sku, number, health, size, came_up = fields.take(LINE)
         if health > 2:
             raise WireError(f"LIST: unknown health {health}")
-        return Listed(exchange, number, Health(health), came_up, size)
+        return ExchangeEntry(exchange, number, Health(health), came_up, size)
 
     def _event(self, code: int, fields: _Fields) -> Arrival:
         if code == 1:
@@ -277,7 +283,7 @@
             )
         if code == 4:
             call, exchange, attempt, latency = fields.take(_ACCEPTED)
-            return CallStands(call, exchange, attempt, latency)
+            return CallEstablished(call, exchange, attempt, latency)
         if code == 5:
             call, attempt, exchange, status, latency, over, note = fields.take(_RESOLVED)
             if status not in ENDINGS:
@@ -288,9 +294,9 @@
                 call, exchange, attempt, ending, bool(over), latency, reason, wait, fields.floats()
             )
         if code == 6:
-            return CallerLeft(fields.take(_U32)[0])
+            return CallAbandoned(fields.take(_U32)[0])
         if code == 7:
-            return Woken(fields.take(_U64)[0])
+            return TimerFired(fields.take(_U64)[0])
         if code == 8:
             latency, status, exchange = fields.take(_PONG)
             return Report(exchange, latency > 0 or status != 0, status == 0, latency, fields.floats())
@@ -312,17 +318,17 @@
             code, body = 1, struct.pack(">I6sd", call, exchange, wait)
         case Refuse(call, come_back):
             code, body = 2, struct.pack(">Id", call, come_back)
-        case GiveUp(call, _):
+        case FailCall(call, _):
             code, body = 3, _U32.pack(call)
-        case WakeAt(at, token):
+        case SetTimer(at, token):
             code, body = 5, struct.pack(">dQ", at, token)
-        case Tell(to, payload):
+        case SendPeerMessage(to, payload):
             code, body = 8, struct.pack(">IH", to, len(payload)) + payload
         case Probe(exchange):
             code, body = 6, struct.pack(">6s", exchange)
-        case FollowList(on):
+        case WatchList(on):
             code, body = 11, _U8.pack(on)
-        case Say(text):
+        case LogMessage(text):
             code, body = 9, _text(text)
     return RECORD.pack(code, len(body) + 2) + _U16.pack(inst) + body
 
--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -15,22 +15,22 @@
 from badgerstile.interface import (
     Action,
     AttemptEnded,
-    CallerLeft,
+    AttemptOutcome,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
-    CallStands,
-    Ending,
     Event,
-    Figure,
-    GiveUp,
+    FailCall,
+    LoadField,
+    LogMessage,
     Probe,
-    Reason,
     Refuse,
+    RejectionReason,
     Report,
-    Say,
+    SetTimer,
     Settings,
     SetUp,
-    WakeAt,
-    Woken,
+    TimerFired,
 )
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.contracts import Contracts
@@ -69,8 +69,8 @@
 RELEASE_MARGIN_MS = 10.0  # a release counts from where it arrives, which is later than where it was decided
 PROBE_WAIT_MS = 250.0  # a probe without an answer by then has failed
 CAUSE_CUT = 41  # the call was cut; 16 is an ordinary end
-UNANSWERED = (Ending.TIMED_OUT, Ending.UNREACHABLE)  # no lab hub said so
-WHY = {Reason.LINES_BUSY: Why.BUSY}
+UNANSWERED = (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE)  # no lab hub said so
+WHY = {RejectionReason.LINES_BUSY: Why.BUSY}
 
 LOOK_MS = 20.0  # while the program is ending
 
@@ -82,7 +82,7 @@
     attempt: Attempt
 
 
-Timer = Attempt | Held | Woken | str
+Timer = Attempt | Held | TimerFired | str
 
 
 class Inbox:
@@ -157,7 +157,7 @@
         self.order = itertools.count()
         self.now = now_ms()
         self.life = life or Lifecycle()
-        room = [n for n, f in enumerate(settings.figures) if f is Figure.ROOM_PER_S]
+        room = [n for n, f in enumerate(settings.figures) if f is LoadField.CAPACITY_PER_S]
         self.room_at = room[0] if room else -1
 
     # --- the loop ---
@@ -239,7 +239,7 @@
             case Held(attempt):
                 if self._current(attempt) is not None:
                     self.hubs.set_up(attempt)
-            case Woken():
+            case TimerFired():
                 self._module(event)
             case str():
                 self._last_moment(event)
@@ -315,7 +315,7 @@
             return
         self.contracts.ended(call)
         self.hubs.release(standing.attempt.hub, call)
-        self._module(self._end_of(standing, Ending.CANCELLED))
+        self._module(self._end_of(standing, AttemptOutcome.CANCELLED))
 
     def _last_moment(self, call: str) -> None:
         """Guards against a call left without its answer, whatever became of the decision on it."""
@@ -337,11 +337,11 @@
         if attempt is not None:
             exchange.not_before = self.now + self.set.release_ms
         self._forget(exchange)
-        self._module(CallerLeft(exchange.number))
+        self._module(CallAbandoned(exchange.number))
         if attempt is not None:
             self.hubs.cancel(attempt)
             self._module(
-                AttemptEnded(exchange.number, attempt.hub, attempt.number, Ending.CANCELLED, True,
+                AttemptEnded(exchange.number, attempt.hub, attempt.number, AttemptOutcome.CANCELLED, True,
                              self.now - attempt.sent_ms)
             )  # fmt: skip
 
@@ -382,7 +382,9 @@
         self.standing[call] = Standing(exchange, attempt, event.description, self.now)
         exchange.answer(event.description)
         self._forget(exchange)
-        self._module(CallStands(exchange.number, attempt.hub, attempt.number, self.now - attempt.sent_ms))
+        self._module(
+            CallEstablished(exchange.number, attempt.hub, attempt.number, self.now - attempt.sent_ms)
+        )
         if exchange.released is not None:
             self._hub_released(exchange.released)
 
@@ -397,9 +399,9 @@
             exchange.answered_ms[attempt.hub] = self.now
         record("attempt_ended", call=attempt.offer.call, hub=attempt.hub, number=attempt.number,
                ending=event.ending.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
-        timed_out = event.ending is Ending.TIMED_OUT
+        timed_out = event.ending is AttemptOutcome.TIMED_OUT
         exchange.why = Why.TIMED_OUT if timed_out else WHY.get(event.reason, Why.TURNED_AWAY)
-        if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
+        if event.ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
             exchange.not_before = self.now + self.set.release_ms
         self._module(
             AttemptEnded(exchange.number, attempt.hub, attempt.number, event.ending, False,
@@ -410,9 +412,9 @@
         if self._current(attempt) is not None:
             # guards the module against taking a connection that fell silent for a processor that is slow
             mute = self.hubs.cancel(attempt)
-            self._ended(Ended(attempt, Ending.CANCELLED if mute else Ending.TIMED_OUT))
+            self._ended(Ended(attempt, AttemptOutcome.CANCELLED if mute else AttemptOutcome.TIMED_OUT))
 
-    def _end_of(self, standing: Standing, ending: Ending, report: tuple[float, ...] = ()) -> Event:
+    def _end_of(self, standing: Standing, ending: AttemptOutcome, report: tuple[float, ...] = ()) -> Event:
         attempt = standing.attempt
         return AttemptEnded(
             standing.number,
@@ -435,7 +437,7 @@
         del self.standing[event.call]
         self.contracts.ended(event.call)
         standing.offer.caller.release(event.cause)
-        ending = Ending.CUT if event.cause == CAUSE_CUT else Ending.ENDED
+        ending = AttemptOutcome.CUT if event.cause == CAUSE_CUT else AttemptOutcome.ENDED
         self._module(self._end_of(standing, ending, event.report))
 
     def _released_without_standing(self, event: HubReleased) -> None:
@@ -480,13 +482,13 @@
                 self._set_up(number, hub, wait)
             case Refuse(number, come_back):
                 self._refuse(number, come_back, None)
-            case GiveUp(number, come_back):
+            case FailCall(number, come_back):
                 self._refuse(number, come_back, Why.FAILED)
             case Probe(hub):
                 self.hubs.probe(hub, self.now + PROBE_WAIT_MS)
-            case WakeAt(when, token):
-                self._at(when, Woken(token))
-            case Say(text):
+            case SetTimer(when, token):
+                self._at(when, TimerFired(token))
+            case LogMessage(text):
                 say(text)
             case _:
                 pass  # the platform tells news by itself, and border controllers have no way to talk
@@ -511,7 +513,7 @@
         objection = self.guard.objection(exchange, hub, self.now)
         if objection:
             say(f"set-up of {exchange.offer.call} held back: {objection}")
-            self._module(AttemptEnded(number, hub, exchange.attempts, Ending.NOT_SENT, False, 0.0))
+            self._module(AttemptEnded(number, hub, exchange.attempts, AttemptOutcome.NOT_SENT, False, 0.0))
             return
         until = exchange.deadline_ms - LAST_MOMENT_MS
         if wait > 0:
--- a/landingdeal/core/events.py
+++ b/landingdeal/core/events.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Protocol
 
-from badgerstile.interface import Ending, ExchangeList, Reason
+from badgerstile.interface import AttemptOutcome, ExchangeList, RejectionReason
 from landingdeal.core.contracts import Contract
 
 
@@ -117,8 +117,8 @@
     """The attempt ended without standing."""
 
     attempt: Attempt
-    ending: Ending
-    reason: Reason = Reason.NONE
+    ending: AttemptOutcome
+    reason: RejectionReason = RejectionReason.NONE
     report: tuple[float, ...] = ()
 
 
--- a/landingdeal/core/guard.py
+++ b/landingdeal/core/guard.py
@@ -35,11 +35,11 @@
             hub = self.hubs.setdefault(entry.exchange, Listing())
             hub.health = entry.health
             hub.came_up_ms = max(hub.came_up_ms, entry.came_up_ms)
-        if change.kind in (ListKind.WHOLE, ListKind.REMEMBERED):
+        if change.kind in (ListKind.FULL, ListKind.CACHED):
             for name, hub in self.hubs.items():
                 if name not in named:
-                    hub.health = Health.GONE
-        gone = [name for name, hub in self.hubs.items() if hub.health is Health.GONE]
+                    hub.health = Health.REMOVED
+        gone = [name for name, hub in self.hubs.items() if hub.health is Health.REMOVED]
         for name in gone[:-GONE_MOST]:  # guards the memory on days when each lab hub is a new one
             del self.hubs[name]
 
--- a/landingdeal/net/config.py
+++ b/landingdeal/net/config.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgerstile.interface import ExchangeList, Health, Listed, ListKind, Settings
+from badgerstile.interface import ExchangeEntry, ExchangeList, Health, ListKind, Settings
 from badgerstile.wire import WireError, read_settings
 from landingdeal.errors import ConfigError, address
 
-HEALTH = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.GONE}
+HEALTH = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.REMOVED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,11 +56,11 @@
             where = str(row.get("address") or "")
             if where:
                 address(where, "an endpoint")
-            elif health is not Health.GONE:
+            elif health is not Health.REMOVED:
                 raise ConfigError(f"no address for {row['name']}")
-            entries.append(Listed(name, int(row["group"]) if "group" in row else -1, health, came_up))
+            entries.append(ExchangeEntry(name, int(row["group"]) if "group" in row else -1, health, came_up))
             addresses.append(HubAddress(name, where, health))
-        kind = ListKind.WHOLE if topology.get("snapshot") else ListKind.CHANGES
+        kind = ListKind.FULL if topology.get("snapshot") else ListKind.CHANGES
         return TopologyEvent(int(raw["offset"]), ExchangeList(kind, tuple(entries)), tuple(addresses))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigError(
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -6,7 +6,7 @@
 import time
 from dataclasses import dataclass
 
-from badgerstile.interface import Ending, Settings
+from badgerstile.interface import AttemptOutcome, Settings
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.broker import Inbox
 from landingdeal.core.events import Attempt, Ended, GroupState, HubDied, HubReleased, Probed, Stood
@@ -28,7 +28,12 @@
 ASKED_MS = 250.0  # for a word on a connection that was silent, where its lab hub answers on the new one
 AT_ONCE_MS = 700.0  # a lab hub whose connection was reset and that is back so soon has not been restarted
 # 504: the set-up broke on its way, and may have run. Said by a lab hub that lives: it is no sign of a death
-ENDINGS = {503: Ending.TURNED_BACK, 480: Ending.NOT_SENT, 504: Ending.CANCELLED, 408: Ending.TIMED_OUT}
+ENDINGS = {
+    503: AttemptOutcome.TURNED_BACK,
+    480: AttemptOutcome.NOT_SENT,
+    504: AttemptOutcome.CANCELLED,
+    408: AttemptOutcome.TIMED_OUT,
+}
 
 
 def is_description(body: bytes) -> bool:
@@ -100,7 +105,7 @@
             lost = self._no_longer_waiting(hub) if hub.draining else []
             hub.wake.notify()
         for attempt in lost:
-            self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
         if cut:  # the reset was the end of its process after all
             self.inbox.tell(HubDied(name, cut))
         if keep:
@@ -219,7 +224,7 @@
                     lost = [a for a in hub.waiting if refused or now >= a.sent_ms + self.dial_ms - 1]
                     hub.waiting = [a for a in hub.waiting if a not in lost]
                 for attempt in lost:
-                    self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+                    self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
                 if died:
                     # a connection that was reset proves nothing: peers reset idle ones too, and their calls
                     # stand. Where the next is refused, or two are, nobody is there any more to hold them
@@ -235,7 +240,7 @@
         if died:
             self.inbox.tell(HubDied(hub.name, died))
         for attempt in waiting:
-            self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
 
     def _connected(self, hub: Hub, link: HubLink) -> None:
         """What waited goes out under one lock: whoever calls an attempt off finds it waiting, or sent."""
@@ -261,7 +266,7 @@
             self.inbox.tell(HubDied(hub.name, late))
         say(f"connected to {hub.name!r}")
         for attempt in lost:
-            self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
 
     def _ended(self, hub: Hub, link: HubLink, reset: bool) -> None:
         with hub.wake:
@@ -280,7 +285,7 @@
         for attempt in cut:
             # given up with its connection, which proves nothing of its lab hub: one that is gone refuses the
             # next. Guards against trying a healthy hub one call at a time, and pacing it as if newly started
-            self.inbox.tell(Ended(attempt, Ending.CANCELLED))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.CANCELLED))
         if reset and doubted:  # it had been silent: whoever answers there now knows nothing of it
             self.inbox.tell(HubDied(hub.name, before))
 
@@ -302,7 +307,7 @@
     def set_up(self, attempt: Attempt) -> None:
         hub = self._hub(attempt.hub)
         if hub is None:
-            self.inbox.soon(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.soon(Ended(attempt, AttemptOutcome.UNREACHABLE))
             return
         with hub.wake:
             link = hub.link
@@ -312,7 +317,7 @@
                 hub.wake.notify()
                 return
         if link is None or not up or not self._send(hub, link, attempt):
-            self.inbox.soon(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.soon(Ended(attempt, AttemptOutcome.UNREACHABLE))
 
     def _send(self, hub: Hub, link: HubLink, attempt: Attempt) -> bool:
         """False: it did not go out, and nothing else will tell of its end."""
@@ -440,7 +445,7 @@
         if message.status < 300:
             self.inbox.tell(Stood(attempt, message.body))
             return
-        ending = ENDINGS.get(message.status, Ending.ERROR)
+        ending = ENDINGS.get(message.status, AttemptOutcome.ERROR)
         reason = reason_of(message)
         self.inbox.tell(Ended(attempt, ending, reason, figures_of(message, self.set)))
 
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -46,7 +46,7 @@
 
     def told(event: TopologyEvent) -> None:
         for one in event.addresses:
-            hubs.known(one.name, one.where, one.health is Health.GONE, one.health is Health.DRAINING)
+            hubs.known(one.name, one.where, one.health is Health.REMOVED, one.health is Health.DRAINING)
         inbox.tell(News(event.change))
 
     def ready() -> None:
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -5,7 +5,7 @@
 import os
 from pathlib import Path
 
-from badgerstile.interface import ExchangeList, Health, Listed, ListKind
+from badgerstile.interface import ExchangeEntry, ExchangeList, Health, ListKind
 from landingdeal.capture.settings import CaptureSettings
 from landingdeal.capture.sink import Sink
 from landingdeal.clock import now_ms
@@ -48,8 +48,8 @@
     capture = Capture(told.read, sink, listen) if told.read else None
     contracts = Contracts(operator.contracts)
     broker = Broker(operator.settings, seed, inbox, front, lambda call, cause: None, contracts, life)
-    listed = tuple(Listed(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
-    inbox.tell(News(ExchangeList(ListKind.REMEMBERED, listed)))
+    listed = tuple(ExchangeEntry(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
+    inbox.tell(News(ExchangeList(ListKind.CACHED, listed)))
     front.start(capture)
     say(f"SIP front on {operator.sip.host}:{operator.sip.port}, UDP and TCP")
     run(broker, front.flush, signals, lambda: inbox.tell(Budgets(read_operator_file(where).contracts)))
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -9,7 +9,7 @@
 import hashlib
 import math
 
-from badgerstile.interface import Ending, Figure, Reason, Settings
+from badgerstile.interface import AttemptOutcome, LoadField, RejectionReason, Settings
 from landingdeal.core.broker import CAUSE_CUT, Inbox
 from landingdeal.core.events import (
     Attempt,
@@ -44,8 +44,8 @@
 CALLS_MOST = 4000
 STATUS = {Why.BUSY: 486, Why.TIMED_OUT: 408, Why.FAILED: 500, Why.FORBIDDEN: 403}
 ENDINGS = {
-    408: Ending.TIMED_OUT, 480: Ending.TURNED_BACK, 487: Ending.CANCELLED, 503: Ending.TURNED_BACK,
-    504: Ending.CUT,
+    408: AttemptOutcome.TIMED_OUT, 480: AttemptOutcome.TURNED_BACK, 487: AttemptOutcome.CANCELLED,
+    503: AttemptOutcome.TURNED_BACK, 504: AttemptOutcome.CUT,
 }  # fmt: skip
 BUSY = (486, 600)
 
@@ -286,7 +286,7 @@
     def _set_up(self, attempt: Attempt) -> None:
         hub, call = self.hubs.get(attempt.hub), self.calls.get(attempt.offer.call)
         if hub is None or call is None:
-            self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
             return
         left = attempt.deadline_ms - self.now()
         if left <= 0:
@@ -326,14 +326,14 @@
         if leg.cancelled:
             return
         transaction = leg.transaction
-        ending, reason = ENDINGS.get(message.status, Ending.ERROR), reason_of(message)
+        ending, reason = ENDINGS.get(message.status, AttemptOutcome.ERROR), reason_of(message)
         if not message.get("via") and message.status == 503:  # the transport failed
             up = transaction is None or transaction.flow.was_up
-            ending = Ending.CUT if up else Ending.UNREACHABLE
-        elif message.status == 503 and reason is Reason.NONE:
-            reason = Reason.PROCESSOR_FULL
+            ending = AttemptOutcome.CUT if up else AttemptOutcome.UNREACHABLE
+        elif message.status == 503 and reason is RejectionReason.NONE:
+            reason = RejectionReason.PROCESSOR_FULL
         elif message.status in BUSY:
-            reason = Reason.LINES_BUSY
+            reason = RejectionReason.LINES_BUSY
         self.inbox.tell(Ended(leg.attempt, ending, reason, figures_of(message, self.set)))
 
     def _stands(self, leg: Leg, message: Message) -> None:
@@ -417,7 +417,10 @@
         """Circuits towards a hub whose number of them is in the operator's file are counted here."""
         self.used[hub.name] += by
         if hub.circuits:
-            told = {Figure.FREE_CIRCUITS: hub.circuits - self.used[hub.name], Figure.GROUP_SIZE: hub.circuits}
+            told = {
+                LoadField.FREE_CIRCUITS: hub.circuits - self.used[hub.name],
+                LoadField.GROUP_SIZE: hub.circuits,
+            }
             figures = tuple(float(told.get(figure, -1)) for figure in self.set.figures)
             self.inbox.tell(GroupState(hub.name, figures))
 
--- a/landingdeal/sip/headers.py
+++ b/landingdeal/sip/headers.py
@@ -2,23 +2,23 @@
 
 from __future__ import annotations
 
-from badgerstile.interface import Figure, Reason, Settings
+from badgerstile.interface import LoadField, RejectionReason, Settings
 from landingdeal.sip.message import Message
 
 REPORT_NAMES = {
-    "x0": Figure.FREE_CIRCUITS, "free": Figure.FREE_CIRCUITS,
-    "x1": Figure.GROUP_SIZE, "size": Figure.GROUP_SIZE,
-    "queue": Figure.QUEUE, "depth": Figure.QUEUE,
-    "qps": Figure.ROOM_PER_S, "can_take": Figure.ROOM_PER_S,
-    "util": Figure.BUSY, "load_share": Figure.BUSY,
-    "latency_ms": Figure.WAIT_MS, "mean_ms": Figure.WAIT_MS,
-    "inflight": Figure.IN_WORK, "concurrent": Figure.IN_WORK,
-    "eps": Figure.HOLD_BACK, "hold_back": Figure.HOLD_BACK,
+    "x0": LoadField.FREE_CIRCUITS, "free": LoadField.FREE_CIRCUITS,
+    "x1": LoadField.GROUP_SIZE, "size": LoadField.GROUP_SIZE,
+    "queue": LoadField.QUEUE_LENGTH, "depth": LoadField.QUEUE_LENGTH,
+    "qps": LoadField.CAPACITY_PER_S, "can_take": LoadField.CAPACITY_PER_S,
+    "util": LoadField.UTILIZATION, "load_share": LoadField.UTILIZATION,
+    "latency_ms": LoadField.WAIT_MS, "mean_ms": LoadField.WAIT_MS,
+    "inflight": LoadField.CALLS_IN_PROGRESS, "concurrent": LoadField.CALLS_IN_PROGRESS,
+    "eps": LoadField.HOLD_BACK, "hold_back": LoadField.HOLD_BACK,
 }  # fmt: skip
 ALLOW = ("allow", "INVITE, ACK, CANCEL, BYE, OPTIONS")
 NOTES = {
-    "nc": Reason.NO_CIRCUIT, "tb": Reason.TANDEM, "fovl": Reason.TANDEM_FAR_FULL,
-    "ovl": Reason.PROCESSOR_FULL, "busy": Reason.LINES_BUSY,
+    "nc": RejectionReason.NO_CIRCUIT, "tb": RejectionReason.TANDEM, "fovl": RejectionReason.TANDEM_FAR_FULL,
+    "ovl": RejectionReason.PROCESSOR_FULL, "busy": RejectionReason.LINES_BUSY,
 }  # fmt: skip
 
 
@@ -33,8 +33,8 @@
     return "reason", f"Q.850;cause={cause}"
 
 
-def reason_of(message: Message) -> Reason:
-    return NOTES.get(message.get("x-note").strip(), Reason.NONE)
+def reason_of(message: Message) -> RejectionReason:
+    return NOTES.get(message.get("x-note").strip(), RejectionReason.NONE)
 
 
 def figures_of(message: Message, settings: Settings) -> tuple[float, ...]:
@@ -42,11 +42,11 @@
     text = message.get("x-state")
     if not text:
         return ()
-    told: dict[Figure, float] = {}
+    told: dict[LoadField, float] = {}
     for part in text.split(";"):
         name, _, value = part.partition(":")
         try:
-            told[REPORT_NAMES.get(name.strip(), Figure.UNKNOWN)] = float(value)
+            told[REPORT_NAMES.get(name.strip(), LoadField.UNKNOWN)] = float(value)
         except ValueError:
             continue
     return tuple(told.get(figure, -1.0) for figure in settings.figures)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,19 +10,19 @@
     CallClass,
     CallOffered,
     Event,
+    ExchangeEntry,
     ExchangeList,
-    Figure,
-    GiveUp,
+    FailCall,
     Health,
-    Listed,
     ListKind,
+    LoadField,
+    LoadReporting,
     Refuse,
     Report,
-    Reports,
+    SetTimer,
     Settings,
     SetUp,
-    WakeAt,
-    Woken,
+    TimerFired,
 )
 
 SETTINGS = Settings(
@@ -39,8 +39,8 @@
     may_message=False,
     retry_advice=True,
     max_retry_advice_ms=2000.0,
-    reports=Reports.WITH_ANSWERS,
-    figures=(Figure.FREE_CIRCUITS, Figure.GROUP_SIZE, Figure.HOLD_BACK),
+    reports=LoadReporting.WITH_ANSWERS,
+    figures=(LoadField.FREE_CIRCUITS, LoadField.GROUP_SIZE, LoadField.HOLD_BACK),
     list_on_request=False,
     ask_within_ms=10000.0,
     drain_grace_ms=1000.0,
@@ -59,8 +59,10 @@
     return bytes([10, 0, generation, number, 19, 136])
 
 
-def line(number: int, health: Health = Health.READY, came_up: float = 0.0, generation: int = 0) -> Listed:
-    return Listed(exchange(number, generation), number, health, came_up)
+def line(
+    number: int, health: Health = Health.READY, came_up: float = 0.0, generation: int = 0
+) -> ExchangeEntry:
+    return ExchangeEntry(exchange(number, generation), number, health, came_up)
 
 
 class Stage:
@@ -72,24 +74,24 @@
         self.switch = Softswitch(settings, seed)
         self.done: list[tuple[float, Action]] = []
         self.next_call = 0
-        self.give(ExchangeList(ListKind.REMEMBERED, tuple(line(n) for n in range(others + 1))))
+        self.give(ExchangeList(ListKind.CACHED, tuple(line(n) for n in range(others + 1))))
         for n in range(1, others + 1):
             self.circuits(n, free)
 
     def give(self, event: Event, later_ms: float = 0.0) -> list[Action]:
         """Hands over an event, and before it each wake that falls due."""
         until = self.now + later_ms
-        while self.wakes and self.wakes[0] <= until and not isinstance(event, Woken):
+        while self.wakes and self.wakes[0] <= until and not isinstance(event, TimerFired):
             self.now = max(self.now, self.wakes.pop(0))
-            self._hand(Woken(0))
+            self._hand(TimerFired(0))
         self.now = until
         return self._hand(event)
 
     def _hand(self, event: Event) -> list[Action]:
-        if isinstance(event, Woken):
+        if isinstance(event, TimerFired):
             self.wakes.clear()
         actions = self.switch.handle(event, self.now)
-        self.wakes += [action.at_ms for action in actions if isinstance(action, WakeAt)]
+        self.wakes += [action.at_ms for action in actions if isinstance(action, SetTimer)]
         self.done += [(self.now, action) for action in actions]
         return actions
 
@@ -106,4 +108,4 @@
         return [a.exchange for _, a in self.done if isinstance(a, SetUp) and a.call == call]
 
     def answers(self, call: int) -> int:
-        return sum(isinstance(a, Refuse | GiveUp) and a.call == call for _, a in self.done)
+        return sum(isinstance(a, Refuse | FailCall) and a.call == call for _, a in self.done)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,27 +10,27 @@
 
 from badgerstile.interface import (
     AttemptEnded,
-    CallerLeft,
+    AttemptOutcome,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
-    CallStands,
-    Ending,
     ExchangeList,
-    Figure,
-    FollowList,
-    GiveUp,
+    FailCall,
     Health,
     ListKind,
+    LoadField,
+    LoadReporting,
     PeerMessage,
     Probe,
-    Reason,
     Refuse,
-    Repeat,
+    RejectionReason,
     Report,
-    Reports,
+    RetryPolicy,
+    SendPeerMessage,
+    SetTimer,
     SetUp,
-    Tell,
-    WakeAt,
-    Woken,
+    TimerFired,
+    WatchList,
 )
 from tests.helpers import EVEN, SETTINGS, Stage, exchange, line
 
@@ -51,9 +51,9 @@
             for action in actions:
                 if isinstance(action, SetUp):
                     kept[action.exchange[3]] += 1
-                    stage.give(CallStands(call, action.exchange, 0, 50.0))
+                    stage.give(CallEstablished(call, action.exchange, 0, 50.0))
             if k % 20 == 0:
-                stage.give(CallerLeft(call))
+                stage.give(CallAbandoned(call))
             stage.circuits(first, 90, {1: 0.1, 2: 0.2, 3: 0.4}[first])
             if first != 1 and second_choice:
                 stage.circuits(1, 40, 0.1)
@@ -101,7 +101,7 @@
     calls = []
     for _ in range(20):
         call, _ = stage.call(2, transit=True)
-        stage.give(CallStands(call, exchange(2), 0, 50.0))
+        stage.give(CallEstablished(call, exchange(2), 0, 50.0))
         calls.append(call)
     assert all(len(stage.sent(c)) == 1 for c in calls)
 
@@ -111,7 +111,7 @@
     call, _ = stage.call(1, budget=900.0)
     begun = stage.now
     for _ in range(40):
-        stage.give(Woken(0), 25.0)
+        stage.give(TimerFired(0), 25.0)
     assert stage.answers(call) == 1
     (at,) = (t for t, a in stage.done if isinstance(a, Refuse) and a.call == call)
     assert at <= begun + 900.0
@@ -122,7 +122,7 @@
 def test_rule_one_a_call_for_the_own_number_is_answered_once_and_never_sent_home() -> None:
     stage = Stage(free=0)
     call, _ = stage.call(0)
-    stage.give(Woken(0), 4000.0)
+    stage.give(TimerFired(0), 4000.0)
     assert stage.answers(call) == 1 and not stage.sent(call)
 
 
@@ -131,11 +131,11 @@
     call, _ = stage.call(1)
     for n in (1, 2, 3, 4):
         stage.circuits(n, 90)
-        stage.give(Woken(0), 100.0)
+        stage.give(TimerFired(0), 100.0)
     assert len(stage.sent(call)) == 1
 
 
-@pytest.mark.parametrize("health", [Health.DRAINING, Health.GONE])
+@pytest.mark.parametrize("health", [Health.DRAINING, Health.REMOVED])
 def test_rule_three_nothing_goes_to_a_leaving_exchange(health: Health) -> None:
     stage = Stage()
     stage.give(ExchangeList(ListKind.CHANGES, (line(1, health),)))
@@ -145,7 +145,7 @@
 
 def test_rule_three_an_exchange_left_out_of_a_whole_list_is_gone() -> None:
     stage = Stage()
-    stage.give(ExchangeList(ListKind.WHOLE, tuple(line(n) for n in (0, 2, 3, 4))))
+    stage.give(ExchangeList(ListKind.FULL, tuple(line(n) for n in (0, 2, 3, 4))))
     call, _ = stage.call(1)
     assert not stage.sent(call)
 
@@ -166,11 +166,11 @@
     stage.circuits(2, 90)
     call, _ = stage.call(1)
     assert stage.sent(call) == [exchange(2)]
-    stage.give(AttemptEnded(call, exchange(2), 0, Ending.CUT, False, 100.0), 100.0)
+    stage.give(AttemptEnded(call, exchange(2), 0, AttemptOutcome.CUT, False, 100.0), 100.0)
     told = stage.now
     for _ in range(30):
         stage.circuits(3, 90)
-        stage.give(Woken(0), 50.0)
+        stage.give(TimerFired(0), 50.0)
     times = [t for t, a in stage.done if isinstance(a, SetUp) and a.call == call]
     assert len(times) == 2 and times[1] >= told + SETTINGS.release_ms
 
@@ -179,16 +179,20 @@
     stage = Stage(replace(SETTINGS, max_attempts=2))
     call, _ = stage.call(1)
     for go in range(2):
-        stage.give(AttemptEnded(call, exchange(1), go, Ending.NOT_SENT, False, 0.0, Reason.NO_CIRCUIT))
+        stage.give(
+            AttemptEnded(
+                call, exchange(1), go, AttemptOutcome.NOT_SENT, False, 0.0, RejectionReason.NO_CIRCUIT
+            )
+        )
     assert len(stage.sent(call)) == 2 and stage.answers(call) == 1
 
 
 def test_a_single_shot_call_is_neither_sent_again_nor_refused() -> None:
-    kinds = (replace(SETTINGS.classes[0], repeat=Repeat.SINGLE_SHOT),)
+    kinds = (replace(SETTINGS.classes[0], repeat=RetryPolicy.SINGLE_SHOT),)
     stage = Stage(replace(SETTINGS, classes=kinds))
     call, _ = stage.call(1)
-    actions = stage.give(AttemptEnded(call, exchange(1), 0, Ending.TIMED_OUT, False, 900.0), 900.0)
-    assert any(isinstance(a, GiveUp) for a in actions) and len(stage.sent(call)) == 1
+    actions = stage.give(AttemptEnded(call, exchange(1), 0, AttemptOutcome.TIMED_OUT, False, 900.0), 900.0)
+    assert any(isinstance(a, FailCall) for a in actions) and len(stage.sent(call)) == 1
 
 
 def test_a_tandem_that_turns_back_is_left_alone_for_that_destination() -> None:
@@ -196,7 +200,9 @@
     stage.circuits(1, 0)
     stage.circuits(2, 99)
     call, _ = stage.call(1)
-    stage.give(AttemptEnded(call, exchange(2), 0, Ending.TURNED_BACK, False, 50.0, Reason.TANDEM))
+    stage.give(
+        AttemptEnded(call, exchange(2), 0, AttemptOutcome.TURNED_BACK, False, 50.0, RejectionReason.TANDEM)
+    )
     assert stage.sent(call) == [exchange(2), exchange(3)]
     later, _ = stage.call(1)
     assert exchange(2) not in stage.sent(later)
@@ -206,26 +212,26 @@
 def test_an_exchange_that_answered_just_now_has_not_been_started_anew(away: float, paced: bool) -> None:
     stage = Stage(EVEN)
     first, _ = stage.call(1)
-    stage.give(CallStands(first, exchange(1), 0, 40.0), 40.0)
-    stage.give(Woken(0), 10.0)
+    stage.give(CallEstablished(first, exchange(1), 0, 40.0), 40.0)
+    stage.give(TimerFired(0), 10.0)
     second, _ = stage.call(1)
-    stage.give(AttemptEnded(second, exchange(1), 0, Ending.CUT, False, 20.0), away)
+    stage.give(AttemptEnded(second, exchange(1), 0, AttemptOutcome.CUT, False, 20.0), away)
     assert stage.switch.far[exchange(1)].died
-    stage.give(CallStands(second, exchange(1), 0, 40.0))
+    stage.give(CallEstablished(second, exchange(1), 0, 40.0))
     assert (stage.switch.far[exchange(1)].came_up > 0) is paced
 
 
 def test_a_dead_exchange_gets_single_trials_and_comes_back_cold() -> None:
     stage = Stage()
     call, _ = stage.call(1)
-    stage.give(AttemptEnded(call, exchange(1), 0, Ending.UNREACHABLE, False, 10.0), 10.0)
+    stage.give(AttemptEnded(call, exchange(1), 0, AttemptOutcome.UNREACHABLE, False, 10.0), 10.0)
     calls = [stage.call(1)[0] for _ in range(10)]
     assert not any(stage.sent(c) for c in calls)
-    stage.give(Woken(0), 1000.0)
+    stage.give(TimerFired(0), 1000.0)
     tried = [c for c in [call, *calls] if stage.sent(c)[-1:] == [exchange(1)]]
     out = [c for c in tried if stage.switch.calls[c].out]
     assert len(out) == 1
-    stage.give(CallStands(out[0], exchange(1), len(stage.sent(out[0])) - 1, 100.0), 100.0)
+    stage.give(CallEstablished(out[0], exchange(1), len(stage.sent(out[0])) - 1, 100.0), 100.0)
     before = sum(len(stage.sent(c)) for c in calls)
     assert sum(len(stage.sent(c)) for c in [stage.call(1)[0] for _ in range(10)]) <= 1
     assert before <= 2
@@ -235,19 +241,19 @@
     stage = Stage()
     for _ in range(6):
         call, _ = stage.call(1)
-        stage.give(CallStands(call, exchange(1), 0, 60.0), 60.0)
+        stage.give(CallEstablished(call, exchange(1), 0, 60.0), 60.0)
     quick = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
     for call in list(stage.switch.calls):
         if call in stage.switch.calls and stage.switch.calls[call].out:
-            stage.give(AttemptEnded(call, exchange(1), 0, Ending.TIMED_OUT, True, 1500.0), 400.0)
+            stage.give(AttemptEnded(call, exchange(1), 0, AttemptOutcome.TIMED_OUT, True, 1500.0), 400.0)
     slow = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
     assert quick >= 4 and slow <= 2
 
 
 def test_lost_probes_press_the_own_processor() -> None:
-    stage = Stage(replace(EVEN, may_probe=True, reports=Reports.WHEN_PROBED))
+    stage = Stage(replace(EVEN, may_probe=True, reports=LoadReporting.WHEN_PROBED))
     for _ in range(8):
-        asked = [a for a in stage.give(Woken(0), 1000.0) if isinstance(a, Probe)]
+        asked = [a for a in stage.give(TimerFired(0), 1000.0) if isinstance(a, Probe)]
         assert exchange(0) in [a.exchange for a in asked]
         stage.give(Report(exchange(0), True, False, 250.0))
     sent = sum(len(stage.sent(stage.call(1 + k % 4)[0])) for k in range(40))
@@ -263,9 +269,9 @@
         call, actions = stage.call(1, kind=kind)
         if any(isinstance(a, SetUp) for a in actions):
             kept[kind] += 1
-            stage.give(CallStands(call, exchange(1), 0, 50.0))
+            stage.give(CallEstablished(call, exchange(1), 0, 50.0))
         else:
-            stage.give(CallerLeft(call))
+            stage.give(CallAbandoned(call))
     assert kept[1] / (N / 10) > kept[0] / (N * 0.9) + 0.2
     assert (kept[0] + kept[1]) / N == pytest.approx(0.5, abs=0.04)
 
@@ -282,9 +288,9 @@
         actions = stage.give(CallOffered(k, 1, 0, 1, 3000.0, called=called))
         if any(isinstance(a, SetUp) for a in actions):
             kept[late] += 1
-            stage.give(CallStands(k, exchange(1), 0, 50.0))
+            stage.give(CallEstablished(k, exchange(1), 0, 50.0))
         else:
-            stage.give(CallerLeft(k), 1.0 if late else 1600.0)
+            stage.give(CallAbandoned(k), 1.0 if late else 1600.0)
             if not late:
                 redials.append(called)
     assert len(redials) < N / 3
@@ -301,22 +307,22 @@
         actions = stage.give(CallOffered(k, 1, 0, 1, 500.0 if hurried else 3000.0, called=k + 1))
         if any(isinstance(a, SetUp) for a in actions):
             kept[hurried] += 1
-            stage.give(CallStands(k, exchange(1), 0, 50.0))
+            stage.give(CallEstablished(k, exchange(1), 0, 50.0))
         else:
-            stage.give(CallerLeft(k))
+            stage.give(CallAbandoned(k))
     assert kept[True] == pytest.approx(kept[False], rel=0.1)
 
 
 def test_a_list_on_request_is_followed_and_asked_for_again() -> None:
     stage = Stage(replace(SETTINGS, list_on_request=True))
     for _ in range(30):
-        stage.give(Woken(0), 100.0)
-    assert sum(isinstance(a, FollowList) for _, a in stage.done) == 1
+        stage.give(TimerFired(0), 100.0)
+    assert sum(isinstance(a, WatchList) for _, a in stage.done) == 1
     stage.give(ExchangeList(ListKind.FAILED))
     before = len(stage.done)
     for _ in range(30):
-        stage.give(Woken(0), 100.0)
-    assert any(isinstance(a, FollowList) for _, a in stage.done[before:])
+        stage.give(TimerFired(0), 100.0)
+    assert any(isinstance(a, WatchList) for _, a in stage.done[before:])
 
 
 def test_pools_try_the_first_choice_then_the_freest_able_pool() -> None:
@@ -325,21 +331,23 @@
     stage.circuits(3, 99)
     stage.circuits(4, 100)
     call, _ = stage.call(1)
-    stage.give(AttemptEnded(call, exchange(1), 0, Ending.TURNED_BACK, False, 9.0, Reason.NO_CIRCUIT))
+    stage.give(
+        AttemptEnded(call, exchange(1), 0, AttemptOutcome.TURNED_BACK, False, 9.0, RejectionReason.NO_CIRCUIT)
+    )
     assert stage.sent(call) == [exchange(1), exchange(3)]
 
 
 def test_events_that_no_longer_concern_anything_do_no_harm() -> None:
     stage = Stage()
-    stage.give(CallerLeft(999))
-    stage.give(CallerLeft(999))
-    stage.give(AttemptEnded(999, exchange(77), 0, Ending.TIMED_OUT, True, 1.0))
-    stage.give(CallStands(999, exchange(77), 0, 1.0))
+    stage.give(CallAbandoned(999))
+    stage.give(CallAbandoned(999))
+    stage.give(AttemptEnded(999, exchange(77), 0, AttemptOutcome.TIMED_OUT, True, 1.0))
+    stage.give(CallEstablished(999, exchange(77), 0, 1.0))
     stage.give(Report(exchange(77), True, True, 1.0, (1.0, 2.0, 0.5)))
-    stage.give(Woken(12345))
+    stage.give(TimerFired(12345))
     call, _ = stage.call(55)
     for _ in range(20):
-        stage.give(Woken(0), 100.0)
+        stage.give(TimerFired(0), 100.0)
     assert stage.answers(call) == 1 and not stage.sent(call)
 
 
@@ -348,12 +356,12 @@
     for _ in range(200):
         stage.circuits(1, 50)
     woken = stage.now / 100.0  # one wake a tick is enough, however much comes in between
-    assert sum(isinstance(a, WakeAt) for _, a in stage.done) <= woken + 1
+    assert sum(isinstance(a, SetTimer) for _, a in stage.done) <= woken + 1
     assert len(stage.wakes) == 1
 
 
 def test_a_report_without_known_figures_changes_nothing() -> None:
-    stage = Stage(replace(SETTINGS, figures=(Figure.UNKNOWN,)))
+    stage = Stage(replace(SETTINGS, figures=(LoadField.UNKNOWN,)))
     stage.give(Report(exchange(1), False, True, 0.0, (3.0,)))
     stage.give(CallOffered(1, 1, 0, 1, 3000.0))
     assert stage.sent(1) == [exchange(1)]
@@ -363,7 +371,7 @@
     stage = Stage(EVEN)
     for _ in range(8):
         call, _ = stage.call(1)
-        stage.give(CallStands(call, exchange(1), 0, 450.0), 450.0)
+        stage.give(CallEstablished(call, exchange(1), 0, 450.0), 450.0)
     stage.circuits(1, 0)
     for n in (2, 3, 4):
         stage.circuits(n, 0)
@@ -378,26 +386,30 @@
 def test_calls_wait_while_the_own_processor_is_down() -> None:
     stage = Stage()
     call, _ = stage.call(1)
-    stage.give(AttemptEnded(call, exchange(1), 0, Ending.NOT_SENT, False, 0.0, Reason.PROCESSOR_FULL))
+    stage.give(
+        AttemptEnded(
+            call, exchange(1), 0, AttemptOutcome.NOT_SENT, False, 0.0, RejectionReason.PROCESSOR_FULL
+        )
+    )
     other, _ = stage.call(2)
     assert not stage.sent(other) and len(stage.sent(call)) == 1
-    stage.give(Woken(0), 1100.0)
+    stage.give(TimerFired(0), 1100.0)
     assert stage.sent(other) == [exchange(2)]
 
 
 def test_the_pace_of_a_returned_exchange_does_not_fade_while_it_is_away() -> None:
     stage = Stage(EVEN)
-    stage.give(ExchangeList(ListKind.CHANGES, (line(1, Health.GONE),)))
+    stage.give(ExchangeList(ListKind.CHANGES, (line(1, Health.REMOVED),)))
     for _ in range(100):
         stage.call(1)
-        stage.give(Woken(0), 200.0)
+        stage.give(TimerFired(0), 200.0)
     stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
     before = len(stage.done)
     for _ in range(25):
         stage.call(1)
         for call in [c for c in stage.switch.calls.values() if c.out]:
-            stage.give(CallStands(call.id, exchange(1), 0, 60.0))
-        stage.give(Woken(0), 200.0)
+            stage.give(CallEstablished(call.id, exchange(1), 0, 60.0))
+        stage.give(TimerFired(0), 200.0)
     sent = sum(isinstance(a, SetUp) for _, a in stage.done[before:])
     assert 6 <= sent <= 20
 
@@ -408,10 +420,10 @@
     stage.circuits(2, 90)
     stage.give(CallOffered(8000, 1, 0, 1, 3000.0, advised=3))
     assert stage.sent(8000) == [exchange(3)]
-    stage.give(CallStands(8000, exchange(3), 0, 80.0), 80.0)
+    stage.give(CallEstablished(8000, exchange(3), 0, 80.0), 80.0)
     call, _ = stage.call(1)
     assert stage.sent(call) == [exchange(3)]
-    stage.give(CallStands(call, exchange(3), 0, 80.0), 20000.0)
+    stage.give(CallEstablished(call, exchange(3), 0, 80.0), 20000.0)
     other, _ = stage.call(4, width=1)
     stage.circuits(4, 0)
     over, _ = stage.call(4)
@@ -440,18 +452,18 @@
     stage.circuits(1, 0)
     stage.circuits(2, 90)
     call, actions = stage.call(1)
-    assert [a.to for a in actions if isinstance(a, Tell)] == [1] and not stage.sent(call)
+    assert [a.to for a in actions if isinstance(a, SendPeerMessage)] == [1] and not stage.sent(call)
     stage.give(PeerMessage(1, answer(1, (2, 0), (3, 1), (4, 7))), 20.0)
     assert stage.sent(call) in ([exchange(3)], [exchange(4)])
     wide, actions = stage.call(1, width=4)
-    assert stage.sent(wide) == [exchange(4)] and not any(isinstance(a, Tell) for a in actions)
+    assert stage.sent(wide) == [exchange(4)] and not any(isinstance(a, SendPeerMessage) for a in actions)
 
 
 def test_a_question_is_answered_with_the_own_groups() -> None:
     stage = Stage(MESSAGING)
     stage.circuits(2, 7)
     (told,) = stage.give(PeerMessage(3, struct.pack(">cH", b"?", 0)))
-    assert isinstance(told, Tell) and told.to == 3 and len(told.payload) <= 256
+    assert isinstance(told, SendPeerMessage) and told.to == 3 and len(told.payload) <= 256
     assert (2, 7) in struct.iter_unpack(">HB", told.payload[3:])
 
 
@@ -463,9 +475,9 @@
         begun = stage.now
         call, _ = stage.call(1)
         while not stage.sent(call):
-            stage.give(Woken(0), 50.0)
+            stage.give(TimerFired(0), 50.0)
         waited.append(stage.now - begun)
-        stage.give(CallStands(call, stage.sent(call)[0], 0, 60.0), 4000.0)
+        stage.give(CallEstablished(call, stage.sent(call)[0], 0, 60.0), 4000.0)
     assert max(waited) <= 250.0 and waited[-1] == 0.0
 
 
@@ -493,7 +505,7 @@
     stage.wakes.clear()  # no turn for two seconds
     for call in calls:
         if stage.sent(call):
-            stage.give(CallStands(call, exchange(1), 0, 2000.0), 2000.0 if call == calls[0] else 0.0)
+            stage.give(CallEstablished(call, exchange(1), 0, 2000.0), 2000.0 if call == calls[0] else 0.0)
     fresh = [stage.call(1)[0] for _ in range(3)]
     assert all(stage.sent(call) for call in fresh)
     stage.circuits(2, 0)
@@ -502,7 +514,7 @@
     stage.wakes.clear()
     stage.give(CallOffered(7100, 2, 0, 1, 1700.0, called=7100), 2000.0)  # 1,300 of its 1,500 ms are gone
     for _ in range(7):
-        stage.give(Woken(0), 50.0)
+        stage.give(TimerFired(0), 50.0)
     assert stage.answers(7100) == 1
 
 
@@ -518,12 +530,17 @@
         call, _ = stage.call(number)
         at = stage.sent(call)
         if at and stands:
-            stage.give(CallStands(call, at[0], 0, 60.0), 20.0)
+            stage.give(CallEstablished(call, at[0], 0, 60.0), 20.0)
         for go in range(SETTINGS.max_attempts):
             if call in stage.switch.calls and len(stage.sent(call)) > go:
                 to = stage.sent(call)[go]
-                stage.give(AttemptEnded(call, to, go, Ending.TURNED_BACK, False, 60.0, Reason.TANDEM), 20.0)
-        stage.give(CallerLeft(call))
+                stage.give(
+                    AttemptEnded(
+                        call, to, go, AttemptOutcome.TURNED_BACK, False, 60.0, RejectionReason.TANDEM
+                    ),
+                    20.0,
+                )
+        stage.give(CallAbandoned(call))
         return bool(at)
 
     well = [over(1, True) for _ in range(60)]
@@ -542,7 +559,7 @@
         for k in range(60):
             if k % size == 0 or k == 0:  # as many calls for it in all, whatever the number of softswitches
                 stage.call(1)
-            stage.give(Woken(0), 100.0)
+            stage.give(TimerFired(0), 100.0)
         sent += [at - begun for at, a in stage.done[seen:] if isinstance(a, SetUp)]
     quarter = max(sum(begin <= t < begin + 250 for t in sent) for begin in range(0, 5000, 50))
     assert sent and quarter <= (3 if size == 3 else size / 3)
@@ -556,14 +573,16 @@
     call, _ = stage.call(0)
     assert stage.sent(call) == [exchange(2)], "the freest first leg"
     # turned back there, it tries another one; never the own exchange
-    stage.give(AttemptEnded(call, exchange(2), 0, Ending.TURNED_BACK, False, 20.0, Reason.TANDEM))
+    stage.give(
+        AttemptEnded(call, exchange(2), 0, AttemptOutcome.TURNED_BACK, False, 20.0, RejectionReason.TANDEM)
+    )
     assert len(stage.sent(call)) == 2 and exchange(0) not in stage.sent(call)
     # nothing is free: held as any blocked call, and refused at its aim with the time to come back
     for n in range(1, 5):
         stage.circuits(n, 0)
     held, actions = stage.call(0)
     assert not stage.sent(held) and not stage.answers(held)
-    stage.give(Woken(0), 1600.0)
+    stage.give(TimerFired(0), 1600.0)
     assert stage.answers(held) == 1 and not stage.sent(held)
     # in transit it may go to its destination alone, which is no other exchange: refused at once
     moving, actions = stage.call(0, transit=True)
@@ -571,6 +590,10 @@
     # the own processor is down: a set-up from here would not leave
     stage.circuits(2, 90)
     down, _ = stage.call(2)
-    stage.give(AttemptEnded(down, exchange(2), 0, Ending.NOT_SENT, False, 0.0, Reason.PROCESSOR_FULL))
+    stage.give(
+        AttemptEnded(
+            down, exchange(2), 0, AttemptOutcome.NOT_SENT, False, 0.0, RejectionReason.PROCESSOR_FULL
+        )
+    )
     later, _ = stage.call(0)
     assert not stage.sent(later)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,7 +7,14 @@
 
 import pytest
 
-from badgerstile.interface import Ending, ExchangeList, Health, Listed, ListKind, Reason
+from badgerstile.interface import (
+    AttemptOutcome,
+    ExchangeEntry,
+    ExchangeList,
+    Health,
+    ListKind,
+    RejectionReason,
+)
 from badgerstile.wire import read_settings
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import INBOX_MOST, SECOND_ANSWER_MS, Broker, Inbox
@@ -81,7 +88,7 @@
         self.broker = Broker(
             SET, 1, self.inbox, self.hubs, lambda call, _: self.released.append(call), Contracts(contracts)
         )
-        self.give(News(ExchangeList(ListKind.REMEMBERED, (Listed(HUB, 1, Health.READY, 0.0),))))
+        self.give(News(ExchangeList(ListKind.CACHED, (ExchangeEntry(HUB, 1, Health.READY, 0.0),))))
         self.give(GroupState(HUB, (40.0, 40.0, -1.0, -1.0)))
 
     def give(self, *events: object) -> None:
@@ -107,11 +114,13 @@
 @pytest.mark.parametrize(
     ("ending", "reason", "why"),
     [
-        (Ending.TURNED_BACK, Reason.PROCESSOR_FULL, Why.TURNED_AWAY),
-        (Ending.ERROR, Reason.LINES_BUSY, Why.BUSY),
+        (AttemptOutcome.TURNED_BACK, RejectionReason.PROCESSOR_FULL, Why.TURNED_AWAY),
+        (AttemptOutcome.ERROR, RejectionReason.LINES_BUSY, Why.BUSY),
     ],
 )
-def test_a_given_up_call_is_refused_at_once(ending: Ending, reason: Reason, why: Why) -> None:
+def test_a_given_up_call_is_refused_at_once(
+    ending: AttemptOutcome, reason: RejectionReason, why: Why
+) -> None:
     stage = Stage()
     stage.offer()
     stage.give(Ended(stage.hubs.sent[0], ending, reason), Ended(stage.hubs.sent[0], ending, reason))
@@ -164,7 +173,7 @@
     stage.offer()
     stage.give(Stood(stage.hubs.sent[0], b"theirs"))
     for came_up, told in ((now_ms() - 60000, [b"theirs"]), (now_ms() + 1, [b"theirs", 41])):
-        stage.give(News(ExchangeList(ListKind.CHANGES, (Listed(HUB, 1, Health.READY, came_up),))))
+        stage.give(News(ExchangeList(ListKind.CHANGES, (ExchangeEntry(HUB, 1, Health.READY, came_up),))))
         assert stage.caller.told == told
 
 
@@ -196,8 +205,8 @@
     stage = Stage()
     for number in range(500):
         name = f"s-{number}".encode()
-        for health in (Health.READY, Health.GONE):
-            stage.give(News(ExchangeList(ListKind.CHANGES, (Listed(name, 1, health, 0.0),))))
+        for health in (Health.READY, Health.REMOVED):
+            stage.give(News(ExchangeList(ListKind.CHANGES, (ExchangeEntry(name, 1, health, 0.0),))))
     assert len(stage.broker.guard.hubs) < 50 and len(stage.broker.switch.far) < 50
 
 
@@ -259,7 +268,7 @@
 
 def guarded() -> tuple[Guard, Exchange]:
     guard = Guard(SET)
-    guard.news(ExchangeList(ListKind.WHOLE, (Listed(HUB, 1, Health.READY, 0.0),)))
+    guard.news(ExchangeList(ListKind.FULL, (ExchangeEntry(HUB, 1, Health.READY, 0.0),)))
     return guard, Exchange(Offer("a", "sip:a@net", "voice", 1, 9000.0, b"", Caller()), 1)
 
 
@@ -271,10 +280,10 @@
     exchange.attempt = Attempt(exchange.offer, 0, HUB, 100.0, 200.0)
     assert "rule 2" in guard.objection(exchange, HUB, 500.0)
     exchange.attempt = None
-    for health in (Health.DRAINING, Health.GONE):
-        guard.news(ExchangeList(ListKind.CHANGES, (Listed(HUB, 1, health, 0.0),)))
+    for health in (Health.DRAINING, Health.REMOVED):
+        guard.news(ExchangeList(ListKind.CHANGES, (ExchangeEntry(HUB, 1, health, 0.0),)))
         assert "rule 3" in guard.objection(exchange, HUB, 501.0)
-    guard.news(ExchangeList(ListKind.WHOLE, ()))
+    guard.news(ExchangeList(ListKind.FULL, ()))
     assert "rule 3" in guard.objection(exchange, HUB, 601.0)
     assert "rule 1" in guard.objection(exchange, HUB, 9000.0)
     exchange.withdraw()
@@ -284,7 +293,7 @@
 def test_the_guard_keeps_a_cold_hub_within_its_budget() -> None:
     guard, exchange = guarded()
     guard.room(HUB, 30.0)
-    guard.news(ExchangeList(ListKind.CHANGES, (Listed(HUB, 1, Health.READY, 10_000.0),)))
+    guard.news(ExchangeList(ListKind.CHANGES, (ExchangeEntry(HUB, 1, Health.READY, 10_000.0),)))
     exchange.deadline_ms = 1e9
     sent = 0
     while not guard.objection(exchange, HUB, 10_500.0):
@@ -303,7 +312,7 @@
     stage.offer()
     first, broker = stage.hubs.sent[0], stage.broker
     exchange = broker.open["a"]
-    stage.give(Ended(first, Ending.NOT_SENT))
+    stage.give(Ended(first, AttemptOutcome.NOT_SENT))
     if exchange.attempt is None:
         broker._set_up(exchange.number, HUB, 0.0)
     assert exchange.attempt is not None and len(stage.hubs.sent) == 1, "it goes out later"
@@ -313,5 +322,5 @@
     while len(stage.hubs.sent) == 1 and now_ms() < until:
         broker.turn()
     assert stage.hubs.sent[1] is again and now_ms() >= again.sent_ms
-    stage.give(Ended(first, Ending.NOT_SENT))  # late, and of the first
+    stage.give(Ended(first, AttemptOutcome.NOT_SENT))  # late, and of the first
     assert exchange.attempt is again
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from badgerstile.interface import Ending, Health
+from badgerstile.interface import AttemptOutcome, Health
 from badgerstile.wire import read_settings
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import Inbox
@@ -519,7 +519,7 @@
         told: list[object] = []
         while len(told) < 1 + restarted and now_ms() < until:
             told += inbox.take(until)
-        assert told[0] == Ended(sent, Ending.CANCELLED)
+        assert told[0] == Ended(sent, AttemptOutcome.CANCELLED)
         assert told[1:] == ([HubDied(b"h", hub.connected_ms)] if restarted else [])
         new.close()
 
@@ -653,9 +653,9 @@
     assert hub.waiting == [attempt]
     hub.kept = True  # no keeper is started here
     hubs.known(b"h", "127.0.0.1:1", False, draining=True)
-    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, Ending.UNREACHABLE)]
+    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
     hubs.set_up(attempt)
-    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, Ending.UNREACHABLE)]
+    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
 
 
 def test_an_attempt_that_is_called_off_while_its_connection_comes_up_is_cancelled_after_it_was_sent() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,21 +11,21 @@
 
 from badgerstile.interface import (
     AttemptEnded,
-    CallerLeft,
-    CallStands,
-    Ending,
+    AttemptOutcome,
+    CallAbandoned,
+    CallEstablished,
     ExchangeList,
-    GiveUp,
+    FailCall,
     Health,
     ListKind,
+    LoadReporting,
     PeerMessage,
-    Reason,
     Refuse,
+    RejectionReason,
     Report,
-    Reports,
+    SetTimer,
     SetUp,
-    WakeAt,
-    Woken,
+    TimerFired,
 )
 from tests.helpers import SETTINGS, Stage, exchange, line
 
@@ -49,7 +49,11 @@
         self.others = others
         self.rng = random.Random(seed)
         base = replace(
-            SETTINGS, may_probe=True, may_message=True, softswitches=others + 1, reports=Reports.WHEN_PROBED
+            SETTINGS,
+            may_probe=True,
+            may_message=True,
+            softswitches=others + 1,
+            reports=LoadReporting.WHEN_PROBED,
         )
         if pools:
             kinds = tuple(replace(c, pools=tuple(range(others + 1))) for c in base.classes)
@@ -65,7 +69,7 @@
 
     def judge(self) -> None:
         for now, action in self.stage.done[self.seen :]:
-            if isinstance(action, WakeAt):
+            if isinstance(action, SetTimer):
                 self.timers.append((action.at_ms, action.token))
             elif isinstance(action, SetUp):
                 call = self.owed[action.call]
@@ -82,7 +86,7 @@
                     self.cold[action.exchange].append(now)
                     recent = [t for t in self.cold[action.exchange] if t > now - SETTINGS.fall_ms]
                     assert len(recent) <= 3, "a cold exchange is pushed"
-            elif isinstance(action, Refuse | GiveUp):
+            elif isinstance(action, Refuse | FailCall):
                 call = self.owed[action.call]
                 assert not call.final, "two final answers"
                 assert call.out is None and now <= call.due + 20
@@ -97,7 +101,7 @@
             stage.now += rng.choice((0.0, 5.0, 5.0, 20.0, 60.0))
         for timer in sorted(t for t in self.timers if t[0] <= stage.now):
             self.timers.remove(timer)
-            stage.give(Woken(timer[1]))
+            stage.give(TimerFired(timer[1]))
             self.judge()
         for name, call in list(self.owed.items()):
             if call.final:
@@ -123,7 +127,7 @@
             name = rng.choice(list(self.owed))
             if not self.owed[name].out:
                 self.owed[name].final = True
-                stage.give(CallerLeft(name))
+                stage.give(CallAbandoned(name))
         self.judge()
 
     def stall(self) -> None:
@@ -133,7 +137,7 @@
         for name, call in self.owed.items():
             if not call.final and call.due < self.stage.now:
                 call.final = True
-                self.stage.give(CallerLeft(name))
+                self.stage.give(CallAbandoned(name))
                 self.judge()
 
     def message(self) -> None:
@@ -151,7 +155,7 @@
 
     def news(self) -> None:
         number = self.rng.randint(1, self.others)
-        health = self.rng.choice((Health.READY, Health.DRAINING, Health.GONE))
+        health = self.rng.choice((Health.READY, Health.DRAINING, Health.REMOVED))
         came_up = self.stage.now if health is Health.READY else 0.0
         self.barred.discard(exchange(number))
         self.cold.pop(exchange(number), None)
@@ -164,21 +168,26 @@
     def end(self, name: int, call: Owed, timed_out: bool) -> None:
         rng, stage, at, go = self.rng, self.stage, call.out, call.attempts - 1
         assert at is not None
-        ending = Ending.TIMED_OUT if timed_out else rng.choice(
-            (None, Ending.TURNED_BACK, Ending.UNREACHABLE, Ending.CUT, Ending.NOT_SENT, Ending.ERROR)
+        ending = AttemptOutcome.TIMED_OUT if timed_out else rng.choice(
+            (
+                None, AttemptOutcome.TURNED_BACK, AttemptOutcome.UNREACHABLE, AttemptOutcome.CUT,
+                AttemptOutcome.NOT_SENT, AttemptOutcome.ERROR,
+            )
         )  # fmt: skip
         call.out = None
         if ending is None:
             call.final = True
-            stage.give(CallStands(name, at, go, 80.0))
+            stage.give(CallEstablished(name, at, go, 80.0))
             return
-        if ending in (Ending.TIMED_OUT, Ending.CUT):
+        if ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT):
             call.released = stage.now + SETTINGS.release_ms
-        reason = Reason.NONE
-        if ending is Ending.TURNED_BACK:
-            reason = rng.choice((Reason.NO_CIRCUIT, Reason.TANDEM, Reason.PROCESSOR_FULL))
-        elif ending is Ending.NOT_SENT:
-            reason = rng.choice((Reason.NO_CIRCUIT, Reason.PROCESSOR_FULL))
+        reason = RejectionReason.NONE
+        if ending is AttemptOutcome.TURNED_BACK:
+            reason = rng.choice(
+                (RejectionReason.NO_CIRCUIT, RejectionReason.TANDEM, RejectionReason.PROCESSOR_FULL)
+            )
+        elif ending is AttemptOutcome.NOT_SENT:
+            reason = rng.choice((RejectionReason.NO_CIRCUIT, RejectionReason.PROCESSOR_FULL))
         stage.give(AttemptEnded(name, at, go, ending, False, 80.0, reason))
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,24 +14,24 @@
 from badgerstile.drill import serve
 from badgerstile.interface import (
     AttemptEnded,
+    AttemptOutcome,
+    CallEstablished,
     CallOffered,
-    CallStands,
-    Ending,
     ExchangeList,
-    FollowList,
-    GiveUp,
+    FailCall,
     Health,
     ListKind,
+    LoadReporting,
+    LogMessage,
     PeerMessage,
     Probe,
-    Reason,
     Refuse,
+    RejectionReason,
     Report,
-    Reports,
-    Say,
+    SetTimer,
     SetUp,
-    WakeAt,
-    Woken,
+    TimerFired,
+    WatchList,
 )
 from badgerstile.wire import Created, Decoder, Killed, WireError, encode, read_settings
 
@@ -93,18 +93,22 @@
         record(9, struct.pack(">HHH", 0, 2, 2) + b"hi"), record(10, struct.pack(">H", 0)),
     )  # fmt: skip
     first, news, call, stands, ended, left, woken, report, message, killed = found
-    assert isinstance(first, Created) and first.seed == 7 and first.settings.reports is Reports.WITH_ANSWERS
-    assert isinstance(news, ExchangeList) and news.kind is ListKind.REMEMBERED
+    assert (
+        isinstance(first, Created)
+        and first.seed == 7
+        and first.settings.reports is LoadReporting.WITH_ANSWERS
+    )
+    assert isinstance(news, ExchangeList) and news.kind is ListKind.CACHED
     assert [(e.exchange, e.number, e.health) for e in news.entries] == [
         (A, 0, Health.READY),
         (B, 1, Health.READY),
     ]
     assert call == CallOffered(8, 1, 0, 1, 3000.0, called=5)
-    assert stands == CallStands(8, B, 0, 40.0)
+    assert stands == CallEstablished(8, B, 0, 40.0)
     assert ended == AttemptEnded(
-        8, B, 1, Ending.TURNED_BACK, False, 20.0, Reason.PROCESSOR_FULL, 700.0, (5.0, 10.0)
+        8, B, 1, AttemptOutcome.TURNED_BACK, False, 20.0, RejectionReason.PROCESSOR_FULL, 700.0, (5.0, 10.0)
     )
-    assert getattr(left, "call", None) == 8 and woken == Woken(77)
+    assert getattr(left, "call", None) == 8 and woken == TimerFired(77)
     assert isinstance(report, Report) and not report.asked and report.figures[:2] == (9.0, 10.0)
     assert message == PeerMessage(2, b"hi") and isinstance(killed, Killed)
 
@@ -114,11 +118,11 @@
     [
         (SetUp(8, B, 80.0), "01 00000014 0003 00000008 0a0000021388 4054000000000000"),
         (Refuse(8, 2000.0), "02 0000000e 0003 00000008 409f400000000000"),
-        (GiveUp(8), "03 00000006 0003 00000008"),
-        (WakeAt(9008.25, 77), "05 00000012 0003 40c1982000000000 000000000000004d"),
+        (FailCall(8), "03 00000006 0003 00000008"),
+        (SetTimer(9008.25, 77), "05 00000012 0003 40c1982000000000 000000000000004d"),
         (Probe(B), "06 00000008 0003 0a0000021388"),
-        (FollowList(True), "0b 00000003 0003 01"),
-        (Say("hi"), "09 00000006 0003 0002 6869"),
+        (WatchList(True), "0b 00000003 0003 01"),
+        (LogMessage("hi"), "09 00000006 0003 0002 6869"),
     ],
 )
 def test_every_action_is_written(action: object, text: str) -> None:
