--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -145,13 +145,13 @@
     )  # fmt: skip
 
     def __init__(self, event: CallOffered, now: float, first_at: float, aim_ms: float, roll: float) -> None:
-        self.called, self.first_at = event.called, first_at
+        self.called, self.first_at = event.called_number, first_at
         self.id = event.call
         self.number = event.destination
         self.kind = event.call_class
         self.width = event.width
         self.transit = event.in_transit
-        self.advised = -1 if event.in_transit else event.advised
+        self.advised = -1 if event.in_transit else event.advised_number
         self.roll = roll
         self.end_at = now + event.budget_ms - MARGIN_MS
         late = now - first_at > aim_ms
@@ -184,14 +184,14 @@
         self.started = False
         self.ask_list_at: float | None = None
         self.list_retry_ms = settings.ask_within_ms / 16
-        aim_ms = min(c.aim_ms for c in settings.classes)
+        aim_ms = min(c.slo_ms for c in settings.classes)
         self.base_latency = aim_ms
         self.step_ms = min(settings.retransmit_ms or aim_ms, aim_ms / 3)
         self.mix: dict[float, float] = {}  # parts of the worths in the calls offered of late
         self.unserved: dict[int, float] = {}  # numbers whose call got nowhere, and when it was first made
         self.own_down_until = float("-inf")
-        self.hold_ms = max((c.hold_ms for c in settings.classes), default=0.0) or 10 * aim_ms
-        self.probe_ms = PROBE_EVERY_MS * max(settings.softswitches / PROBERS, 1.0)
+        self.hold_ms = max((c.mean_hold_ms for c in settings.classes), default=0.0) or 10 * aim_ms
+        self.probe_ms = PROBE_EVERY_MS * max(settings.softswitch_count / PROBERS, 1.0)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         self.actions = []
@@ -243,10 +243,10 @@
             if far is None:
                 far = self.far[entry.exchange] = FarEnd(entry)
             far.number, far.health = entry.number, entry.health
-            if entry.came_up_ms > far.came_up:
-                far.came_up = entry.came_up_ms
+            if entry.started_ms > far.came_up:
+                far.came_up = entry.started_ms
                 if self._cold(far, now):  # all hear of it at once: their first set-ups are spread at random
-                    far.next_paced = now + self.random.random() * COLD_SPREAD * self.set.classes[0].aim_ms
+                    far.next_paced = now + self.random.random() * COLD_SPREAD * self.set.classes[0].slo_ms
         if event.kind is not ListKind.CHANGES:
             named = {entry.exchange for entry in event.entries}
             for exchange, far in self.far.items():
@@ -269,7 +269,7 @@
     # --- shares ---
 
     def _figures(self, far: FarEnd, figures: tuple[float, ...], now: float) -> None:
-        told = dict(zip(self.set.figures, figures, strict=False))
+        told = dict(zip(self.set.load_fields, figures, strict=False))
         if told.get(LoadField.FREE_CIRCUITS, -1) >= 0:
             taken = far.sent_width if far.sent_at == now else 0  # sent since this figure was true
             far.free = max(int(told[LoadField.FREE_CIRCUITS]) - taken, 0)
@@ -300,7 +300,7 @@
 
     def _own_share(self, now: float) -> float:
         """The own processor is on every path: its probed share, or else what latencies have in common."""
-        own, share = self.at.get(self.set.here), self._share_of_wait(self._common_wait(now))
+        own, share = self.at.get(self.set.own_number), self._share_of_wait(self._common_wait(now))
         return min(max(share, self._share(own, now) if own is not None else 0.0), 1 - TRICKLE)
 
     # --- a call ---
@@ -308,7 +308,7 @@
     def _offered(self, event: CallOffered, now: float) -> None:
         kind = self._kind(event.call_class)
         first_at = self._first_try(event, kind, now)
-        late = now - first_at > kind.aim_ms
+        late = now - first_at > kind.slo_ms
         worth = kind.worth * (kind.late_worth if late else 1.0)
         for level in self.mix:
             self.mix[level] *= 1 - MIX
@@ -316,7 +316,7 @@
         # a share holds back the least worth first, at random among equals, and as much of the mix as it says
         below = sum(part for level, part in self.mix.items() if level < worth)
         roll = (below + self.random.random() * self.mix[worth]) / sum(self.mix.values())
-        call = self.calls[event.call] = Call(event, now, first_at, kind.aim_ms, roll)
+        call = self.calls[event.call] = Call(event, now, first_at, kind.slo_ms, roll)
         if first_at == now:  # first tries only: what is wanted of an exchange, also while it is away
             rate, at = self.rates.get(call.number, (0.0, now))
             self.rates[call.number] = (rate * 0.5 ** ((now - at) / RATE_HALF_MS) + LN2_S / RATE_HALF_MS, now)
@@ -333,14 +333,16 @@
         """
         if event.in_transit:
             return now
-        first_at = self.unserved.pop(event.called, float("-inf")) if event.called else float("-inf")
+        first_at = (
+            self.unserved.pop(event.called_number, float("-inf")) if event.called_number else float("-inf")
+        )
         for called, at in list(self.unserved.items())[:2]:  # the oldest, two for each that may be added
             if now - at > 2 * kind.deadline_ms:
                 del self.unserved[called]
         if now - first_at < kind.deadline_ms:
             return first_at
-        if event.redialled:
-            return now - 2 * kind.aim_ms
+        if event.is_redial:
+            return now - 2 * kind.slo_ms
         usual, votes = self.usual.get(event.call_class, (event.budget_ms, 0))
         if now == self.back_at:  # it waited for this softswitch, by as much as its time is shorter than usual
             waited = usual - event.budget_ms
@@ -367,7 +369,7 @@
 
     def _route(self, call: Call, now: float) -> FarEnd | None:
         far = self.at.get(call.number)
-        if call.number == self.set.here:
+        if call.number == self.set.own_number:
             # handed over while the caller's own exchange starts: no group leads home, a tandem's two legs do
             blocked = call.transit or now < self.own_down_until
             return None if blocked else self._alternate(call, None, now)
@@ -413,7 +415,7 @@
                 key > best_key
                 and far.free >= room
                 and far.health is Health.READY
-                and far.number not in (call.number, self.set.here)
+                and far.number not in (call.number, self.set.own_number)
                 and (self.set.mesh or not able or far.number in able)
                 and far.exchange not in call.tried
                 and (legs is None or legs.get(far.number, 0) >= call.width)
@@ -454,12 +456,12 @@
     def _turn_away(self, call: Call) -> None:
         del self.calls[call.id]
         self._got_nowhere(call)
-        advice = self.set.max_retry_advice_ms if self.set.retry_advice else 0.0
+        advice = self.set.max_retry_after_ms if self.set.sends_retry_after else 0.0
         self.actions.append(FailCall(call.id, advice) if self._spent(call) else Refuse(call.id, advice))
 
     def _spent(self, call: Call) -> bool:
         """The call may have run, and is of a class that must not run twice."""
-        return call.may_have_run and self._kind(call.kind).repeat is not RetryPolicy.FREE
+        return call.may_have_run and self._kind(call.kind).retry_policy is not RetryPolicy.FREE
 
     # --- messages: which second legs have room, asked of the destination, which knows its own groups ---
 
@@ -478,11 +480,11 @@
 
     def _message(self, sender: int, payload: bytes, now: float) -> None:
         """A question for, or an answer with, free circuits; anything else is ignored, as is a stranger's."""
-        if not self.set.may_message or sender >= self.set.softswitches or len(payload) < 3:
+        if not self.set.may_message or sender >= self.set.softswitch_count or len(payload) < 3:
             return
         kind, number = struct.unpack_from(">cH", payload)
-        if kind == b"?" and number == self.set.here:
-            ready = [f for f in self.at.values() if f.size > 0 and f.number != self.set.here]
+        if kind == b"?" and number == self.set.own_number:
+            ready = [f for f in self.at.values() if f.size > 0 and f.number != self.set.own_number]
             ready.sort(key=lambda far: -far.free)
             told = [struct.pack(">HB", f.number, min(f.free, 255)) for f in ready[:LEGS_MOST]]
             self.actions.append(SendPeerMessage(sender, struct.pack(">cH", b"!", number) + b"".join(told)))
@@ -505,7 +507,7 @@
         warm = max(now - far.came_up, 0.0) / self.set.cold_ms
         ramp = self.set.cold_from + (1 - self.set.cold_from) * warm
         rate, _ = self.rates.get(far.number, (0.0, now))
-        least = COLD_LEAST / max(self.set.softswitches, 1)
+        least = COLD_LEAST / max(self.set.softswitch_count, 1)
         return max(rate, least) * ramp * max(self.set.fall_multiple * COLD_SAFETY, 0.5)
 
     def _paced(self, far: FarEnd, now: float) -> bool:
@@ -536,7 +538,7 @@
         far.latency += (latency_ms - far.latency) * (SMOOTH if fresh else 1.0)
         far.latency_at = now
         far.pace_by((latency_ms - self.base_latency) / self.step_ms, latency_ms, now)
-        own = self.at.get(self.set.here)
+        own = self.at.get(self.set.own_number)
         if own is not None:
             self._heed(own, self._common_wait(now) / 2, now)
 
@@ -555,34 +557,36 @@
 
     def _learn(self, far: FarEnd, call: Call | None, event: AttemptEnded, now: float) -> None:
         """What the end of an attempt tells of the exchange that it went to."""
-        self._figures(far, event.report, now)
+        self._figures(far, event.load_values, now)
         sent = far.waiting.pop(event.call, None)
         direct = call is None or call.number == far.number
-        full = event.reason is RejectionReason.PROCESSOR_FULL and event.ending is AttemptOutcome.TURNED_BACK
-        late = full or event.ending is AttemptOutcome.TIMED_OUT
+        full = event.reason is RejectionReason.PROCESSOR_FULL and event.outcome is AttemptOutcome.TURNED_BACK
+        late = full or event.outcome is AttemptOutcome.TIMED_OUT
         if late and direct:  # it would have waited at least so long
             waited = max(event.latency_ms, far.latency, self.base_latency + WAIT_HIGH * self.step_ms)
             self._latency(far, waited, now)
         if far.trial == event.call:
             far.trial = None
-        broken = event.ending in (AttemptOutcome.UNREACHABLE, AttemptOutcome.CUT)
+        broken = event.outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.CUT)
         died = broken and sent is not None and far.last_answer < sent
-        if died or far.died and event.ending is AttemptOutcome.TIMED_OUT:
-            if direct or event.ending is not AttemptOutcome.CUT:
+        if died or far.died and event.outcome is AttemptOutcome.TIMED_OUT:
+            if direct or event.outcome is not AttemptOutcome.CUT:
                 far.failed(now, self.step_ms)
-        elif event.ending is AttemptOutcome.TURNED_BACK and not late or event.ending is AttemptOutcome.ERROR:
+        elif (
+            event.outcome is AttemptOutcome.TURNED_BACK and not late or event.outcome is AttemptOutcome.ERROR
+        ):
             far.answered(now)  # the end of a standing call is no sign of life, nor a full processor's refusal
 
     def _go_on(self, far: FarEnd | None, call: Call, event: AttemptEnded, now: float) -> None:
         """What becomes of the call: concluded, tried again after its release, or answered."""
         call.out = None
-        if event.over:
+        if event.call_ended:
             del self.calls[call.id]
             self._got_nowhere(call)
             return
-        if event.ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
+        if event.outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
             call.not_before = now + self.set.release_ms
-        if event.ending in (
+        if event.outcome in (
             AttemptOutcome.TIMED_OUT,
             AttemptOutcome.CUT,
             AttemptOutcome.CANCELLED,
@@ -591,11 +595,11 @@
             call.may_have_run = True
         if far is not None and far.number != call.number:
             self._failed_over(far, call, now)
-        elif event.reason is RejectionReason.NO_CIRCUIT and event.ending is not AttemptOutcome.NOT_SENT:
+        elif event.reason is RejectionReason.NO_CIRCUIT and event.outcome is not AttemptOutcome.NOT_SENT:
             call.tried.append(event.exchange)
-        if event.reason is RejectionReason.PROCESSOR_FULL and event.ending is AttemptOutcome.NOT_SENT:
+        if event.reason is RejectionReason.PROCESSOR_FULL and event.outcome is AttemptOutcome.NOT_SENT:
             self.own_down_until = now + 2 * self.step_ms  # the own processor is down: all calls wait for it
-        hopeless = event.ending is not AttemptOutcome.NOT_SENT and event.reason in (
+        hopeless = event.outcome is not AttemptOutcome.NOT_SENT and event.reason in (
             RejectionReason.LINES_BUSY,
             RejectionReason.PROCESSOR_FULL,
             RejectionReason.TANDEM_FAR_FULL,
@@ -618,11 +622,11 @@
         far = self.far.get(event.exchange)
         if far is None:
             return
-        if event.asked:  # a probe waits in the same line: its time, or its failing, tells of the processor
-            self._heed(far, event.latency_ms if event.well else PROBE_LOST * self.step_ms, now)
-        if event.well:
-            self._figures(far, event.figures, now)
-            if not event.asked:
+        if event.probed:  # a probe waits in the same line: its time, or its failing, tells of the processor
+            self._heed(far, event.latency_ms if event.succeeded else PROBE_LOST * self.step_ms, now)
+        if event.succeeded:
+            self._figures(far, event.load_values, now)
+            if not event.probed:
                 self._retry_held(now, far.number)
 
     # --- time passes ---
@@ -636,10 +640,10 @@
     def _tick(self, now: float) -> None:
         if self.ask_list_at is not None and now > self.ask_list_at:
             self._ask_list()
-        if self.set.may_probe and self.set.reports is not LoadReporting.NONE:
-            pull = self.set.reports is LoadReporting.WHEN_PROBED
+        if self.set.may_probe and self.set.load_reporting is not LoadReporting.NONE:
+            pull = self.set.load_reporting is LoadReporting.WHEN_PROBED
             for far in self.far.values():
-                own = far.number == self.set.here  # which no other probes
+                own = far.number == self.set.own_number  # which no other probes
                 every = PROBE_EVERY_MS if own else self.probe_ms
                 used = own or pull and now - far.sent_at < 2 * every
                 if far.health is Health.READY and used and now - far.probed_at >= every:
--- a/badgerstile/interface.py
+++ b/badgerstile/interface.py
@@ -80,21 +80,21 @@
 @dataclass(frozen=True, slots=True)
 class CallClass:
     name: str
-    aim_ms: float
+    slo_ms: float
     deadline_ms: float
     worth: float
     late_worth: float
     width: int
-    hold_ms: float
-    repeat: RetryPolicy = RetryPolicy.FREE
+    mean_hold_ms: float
+    retry_policy: RetryPolicy = RetryPolicy.FREE
     pools: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a softswitch is told when it starts. `here` is the own number, -1 where pools are shared."""
+    """What a softswitch is told when it starts. `own_number` is the own number, -1 where pools are shared."""
 
-    here: int
+    own_number: int
     mesh: bool
     classes: tuple[CallClass, ...]
     release_ms: float
@@ -102,10 +102,10 @@
     max_attempts: int
     may_probe: bool
     may_message: bool
-    retry_advice: bool
-    max_retry_advice_ms: float
-    reports: LoadReporting
-    figures: tuple[LoadField, ...]
+    sends_retry_after: bool
+    max_retry_after_ms: float
+    load_reporting: LoadReporting
+    load_fields: tuple[LoadField, ...]
     list_on_request: bool
     ask_within_ms: float
     drain_grace_ms: float
@@ -113,18 +113,18 @@
     cold_ms: float
     fall_multiple: float
     fall_ms: float
-    softswitches: int
+    softswitch_count: int
     tick_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeEntry:
-    """One line of the exchange list; `came_up_ms` is the start of its processor, 0 for long ago."""
+    """One line of the exchange list; `started_ms` is the start of its processor, 0 for long ago."""
 
     exchange: bytes
     number: int
     health: Health
-    came_up_ms: float
+    started_ms: float
     size: float = 1.0
 
 
@@ -136,9 +136,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOffered:
-    """A call to decide on. `advised` is the tandem a centre names, or in transit its origin.
+    """A call to decide on. `advised_number` is the tandem a centre names, or in transit its origin.
 
-    `called` is the number called, 0 where it is not told; a caller who dials again calls the same.
+    `called_number` is the number called, 0 where it is not told; a caller who dials again calls the same.
     """
 
     call: int
@@ -146,11 +146,11 @@
     call_class: int
     width: int
     budget_ms: float
-    advised: int = -1
-    redialled: bool = False
+    advised_number: int = -1
+    is_redial: bool = False
     in_transit: bool = False
-    again_after_cut: bool = False
-    called: int = 0
+    is_redial_after_cut: bool = False
+    called_number: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,17 +163,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """`over`: the call is concluded. `says_wait_ms`: the wait that a full far end named."""
+    """`call_ended`: the call is concluded. `reported_wait_ms`: the wait that a full far end named."""
 
     call: int
     exchange: bytes
     attempt: int
-    ending: AttemptOutcome
-    over: bool
+    outcome: AttemptOutcome
+    call_ended: bool
     latency_ms: float
     reason: RejectionReason = RejectionReason.NONE
-    says_wait_ms: float = 0.0
-    report: tuple[float, ...] = ()
+    reported_wait_ms: float = 0.0
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -183,13 +183,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Figures of an exchange, asked for by a probe (`asked`) or told when the free circuits changed."""
+    """Figures of an exchange, asked for by a probe (`probed`) or told when the free circuits changed."""
 
     exchange: bytes
-    asked: bool
-    well: bool
+    probed: bool
+    succeeded: bool
     latency_ms: float
-    figures: tuple[float, ...] = ()
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -221,13 +221,13 @@
 class SetUp:
     call: int
     exchange: bytes
-    wait_ms: float
+    timeout_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
     call: int
-    come_back_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -235,7 +235,7 @@
     """The simulator's wire has no come-back time for it; real callers are told."""
 
     call: int
-    come_back_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -247,19 +247,19 @@
 class SendPeerMessage:
     """A message of at most 256 bytes to the softswitch of this index."""
 
-    to: int
+    receiver: int
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    at_ms: float
+    due_ms: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    on: bool = True
+    enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgerstile/wire.py
+++ b/badgerstile/wire.py
@@ -155,19 +155,19 @@
         classes = tuple(
             CallClass(
                 name=str(c.get("name", "")),
-                aim_ms=float(c["slo_ms"]),
+                slo_ms=float(c["slo_ms"]),
                 deadline_ms=float(c["deadline_ms"]),
                 worth=float(c.get("points", 1.0)),
                 late_worth=float(c.get("late_worth", 0.0)),
                 width=int(widths[k]) if k < len(widths) else 1,
-                hold_ms=float(holds[k]) if k < len(holds) else 0.0,
-                repeat=RetryPolicy(c.get("effect") or "free"),
+                mean_hold_ms=float(holds[k]) if k < len(holds) else 0.0,
+                retry_policy=RetryPolicy(c.get("effect") or "free"),
                 pools=tuple(int(p) for p in skills[k] or ()) if k < len(skills) else (),
             )
             for k, c in enumerate(raw)
         )
         return Settings(
-            here=int(special["here"]) if mesh else -1,
+            own_number=int(special["here"]) if mesh else -1,
             mesh=mesh,
             classes=classes,
             release_ms=float(special["release_ms"]),
@@ -175,10 +175,10 @@
             max_attempts=int(caps["most_tries"]),
             may_probe=bool(caps.get("may_probe", False)),
             may_message=bool(caps.get("peers", False)),
-            retry_advice=bool(caps.get("retry_after", False)),
-            max_retry_advice_ms=float(caps.get("max_retry_after_ms", 0.0)),
-            reports=REPORTS.get(report.get("how") or "silent", LoadReporting.NONE),
-            figures=tuple(FIGURES.get(n, LoadField.UNKNOWN) for n in report.get("names") or ()),
+            sends_retry_after=bool(caps.get("retry_after", False)),
+            max_retry_after_ms=float(caps.get("max_retry_after_ms", 0.0)),
+            load_reporting=REPORTS.get(report.get("how") or "silent", LoadReporting.NONE),
+            load_fields=tuple(FIGURES.get(n, LoadField.UNKNOWN) for n in report.get("names") or ()),
             list_on_request=info.get("discovery", "pushed") == "on_request",
             ask_within_ms=float(rules.get("ask_within_ms", 10000.0)),
             drain_grace_ms=float(rules["drain_grace_ms"]),
@@ -186,7 +186,7 @@
             cold_ms=float(rules["cold_ms"]),
             fall_multiple=float(rules["fall_multiple"]),
             fall_ms=float(rules["fall_ms"]),
-            softswitches=int(info.get("balancers", 1)),
+            softswitch_count=int(info.get("balancers", 1)),
             tick_ms=float(info.get("tick_ms", 1.0)),
         )
     except KeyError as error:
@@ -275,11 +275,11 @@
                 call_class=cls,
                 width=max(1, _whole(width, "KNOCK")),
                 budget_ms=left,
-                advised=_whole(via, "KNOCK"),
-                redialled=bool(marks & 2),
+                advised_number=_whole(via, "KNOCK"),
+                is_redial=bool(marks & 2),
                 in_transit=bool(marks & 8),
-                again_after_cut=bool(marks & 16),
-                called=key,
+                is_redial_after_cut=bool(marks & 16),
+                called_number=key,
             )
         if code == 4:
             call, exchange, attempt, latency = fields.take(_ACCEPTED)
--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -157,7 +157,7 @@
         self.order = itertools.count()
         self.now = now_ms()
         self.life = life or Lifecycle()
-        room = [n for n, f in enumerate(settings.figures) if f is LoadField.CAPACITY_PER_S]
+        room = [n for n, f in enumerate(settings.load_fields) if f is LoadField.CAPACITY_PER_S]
         self.room_at = room[0] if room else -1
 
     # --- the loop ---
@@ -228,8 +228,8 @@
                 self.guard.news(change)
                 self._module(change)
                 for entry in change.entries:  # what stood before its process started is over
-                    if entry.came_up_ms > 0:
-                        self._hub_died(entry.exchange, entry.came_up_ms)
+                    if entry.started_ms > 0:
+                        self._hub_died(entry.exchange, entry.started_ms)
             case Budgets(contracts):
                 self.contracts.replace(contracts, self.now)
             case Stop(asked_ms):
@@ -280,10 +280,10 @@
                 kind,
                 offer.width,
                 offer.deadline_ms - self.now,
-                advised=offer.advised,
+                advised_number=offer.advised,
                 in_transit=offer.in_transit,
-                again_after_cut=offer.again_after_cut,
-                called=offer.key,
+                is_redial_after_cut=offer.again_after_cut,
+                called_number=offer.key,
             )
         )
 
@@ -356,7 +356,7 @@
                 self.refused.popitem(last=False)
 
     def _come_back(self) -> float:
-        return self.set.max_retry_advice_ms if self.set.retry_advice else 0.0
+        return self.set.max_retry_after_ms if self.set.sends_retry_after else 0.0
 
     # --- lab hubs ---
 
@@ -423,7 +423,7 @@
             ending,
             True,
             self.now - attempt.sent_ms,
-            report=report,
+            load_values=report,
         )
 
     def _hub_released(self, event: HubReleased) -> None:
--- a/landingdeal/core/guard.py
+++ b/landingdeal/core/guard.py
@@ -34,7 +34,7 @@
             named.add(entry.exchange)
             hub = self.hubs.setdefault(entry.exchange, Listing())
             hub.health = entry.health
-            hub.came_up_ms = max(hub.came_up_ms, entry.came_up_ms)
+            hub.came_up_ms = max(hub.came_up_ms, entry.started_ms)
         if change.kind in (ListKind.FULL, ListKind.CACHED):
             for name, hub in self.hubs.items():
                 if name not in named:
@@ -78,4 +78,4 @@
         ramp = self.set.cold_from + (1 - self.set.cold_from) * max(age, 0.0) / self.set.cold_ms
         budget = hub.room_per_s * ramp * self.set.fall_multiple * self.set.fall_ms / 1000 * SHARE_OF_BUDGET
         window = sum(1 for at in hub.sends if now - at < self.set.fall_ms)
-        return window + 1 > max(budget / max(self.set.softswitches - 1, 1), 2.0)
+        return window + 1 > max(budget / max(self.set.softswitch_count - 1, 1), 2.0)
--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -40,7 +40,7 @@
     ) -> None:
         self.inbox, self.life = inbox, life or Lifecycle()
         self.via = f"SIP/2.0/TCP {host}:{port}"
-        self.later_ms = settings.max_retry_advice_ms or 1000.0
+        self.later_ms = settings.max_retry_after_ms or 1000.0
         self.patience_most = 2 * max(kind.deadline_ms for kind in settings.classes)
         self.links_most, self.links_limit = int(sockets * LINKS_PART), int(sockets * BURST_PART)
         self.swept_ms = now_ms()
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -69,7 +69,7 @@
 class Hubs:
     def __init__(self, settings: Settings, inbox: Inbox, local: str, dial_ms: float) -> None:
         self.set, self.inbox, self.dial_ms = settings, inbox, dial_ms
-        aim = min(kind.aim_ms for kind in settings.classes)
+        aim = min(kind.slo_ms for kind in settings.classes)
         self.mute_ms = max(aim * MUTE_PART, MUTE_LEAST_MS)
         self.via = ("via", f"SIP/2.0/TCP {local}")
         self.lock = threading.Lock()
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -421,7 +421,7 @@
                 LoadField.FREE_CIRCUITS: hub.circuits - self.used[hub.name],
                 LoadField.GROUP_SIZE: hub.circuits,
             }
-            figures = tuple(float(told.get(figure, -1)) for figure in self.set.figures)
+            figures = tuple(float(told.get(figure, -1)) for figure in self.set.load_fields)
             self.inbox.tell(GroupState(hub.name, figures))
 
     def _probe(self, name: bytes, deadline_ms: float) -> None:
@@ -614,7 +614,7 @@
             if call.caller_side is not None or call.hub_side is not None:
                 self._drop_call(call, CAUSE_CUT, None)
             elif not call.server.answered:  # it came when the core had ended already
-                self.refuse_call(call, self.set.max_retry_advice_ms, Why.TURNED_AWAY)
+                self.refuse_call(call, self.set.max_retry_after_ms, Why.TURNED_AWAY)
         self.released = True
 
     def flow_lost(self, flow: Flow) -> None:
--- a/landingdeal/sip/headers.py
+++ b/landingdeal/sip/headers.py
@@ -49,4 +49,4 @@
             told[REPORT_NAMES.get(name.strip(), LoadField.UNKNOWN)] = float(value)
         except ValueError:
             continue
-    return tuple(told.get(figure, -1.0) for figure in settings.figures)
+    return tuple(told.get(figure, -1.0) for figure in settings.load_fields)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -26,7 +26,7 @@
 )
 
 SETTINGS = Settings(
-    here=0,
+    own_number=0,
     mesh=True,
     classes=(
         CallClass("plain", 1500.0, 9000.0, 1.0, 0.25, 1, 10000.0),
@@ -37,10 +37,10 @@
     max_attempts=5,
     may_probe=False,
     may_message=False,
-    retry_advice=True,
-    max_retry_advice_ms=2000.0,
-    reports=LoadReporting.WITH_ANSWERS,
-    figures=(LoadField.FREE_CIRCUITS, LoadField.GROUP_SIZE, LoadField.HOLD_BACK),
+    sends_retry_after=True,
+    max_retry_after_ms=2000.0,
+    load_reporting=LoadReporting.WITH_ANSWERS,
+    load_fields=(LoadField.FREE_CIRCUITS, LoadField.GROUP_SIZE, LoadField.HOLD_BACK),
     list_on_request=False,
     ask_within_ms=10000.0,
     drain_grace_ms=1000.0,
@@ -48,7 +48,7 @@
     cold_ms=15000.0,
     fall_multiple=2.0,
     fall_ms=1000.0,
-    softswitches=5,
+    softswitch_count=5,
     tick_ms=5.0,
 )
 EVEN = replace(SETTINGS, classes=(SETTINGS.classes[0],))
@@ -91,7 +91,7 @@
         if isinstance(event, TimerFired):
             self.wakes.clear()
         actions = self.switch.handle(event, self.now)
-        self.wakes += [action.at_ms for action in actions if isinstance(action, SetTimer)]
+        self.wakes += [action.due_ms for action in actions if isinstance(action, SetTimer)]
         self.done += [(self.now, action) for action in actions]
         return actions
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -188,7 +188,7 @@
 
 
 def test_a_single_shot_call_is_neither_sent_again_nor_refused() -> None:
-    kinds = (replace(SETTINGS.classes[0], repeat=RetryPolicy.SINGLE_SHOT),)
+    kinds = (replace(SETTINGS.classes[0], retry_policy=RetryPolicy.SINGLE_SHOT),)
     stage = Stage(replace(SETTINGS, classes=kinds))
     call, _ = stage.call(1)
     actions = stage.give(AttemptEnded(call, exchange(1), 0, AttemptOutcome.TIMED_OUT, False, 900.0), 900.0)
@@ -251,7 +251,7 @@
 
 
 def test_lost_probes_press_the_own_processor() -> None:
-    stage = Stage(replace(EVEN, may_probe=True, reports=LoadReporting.WHEN_PROBED))
+    stage = Stage(replace(EVEN, may_probe=True, load_reporting=LoadReporting.WHEN_PROBED))
     for _ in range(8):
         asked = [a for a in stage.give(TimerFired(0), 1000.0) if isinstance(a, Probe)]
         assert exchange(0) in [a.exchange for a in asked]
@@ -285,7 +285,7 @@
         stage.circuits(1, 90, 0.5)
         called = redials.pop() if late else k + 1
         stage.now += 1.0
-        actions = stage.give(CallOffered(k, 1, 0, 1, 3000.0, called=called))
+        actions = stage.give(CallOffered(k, 1, 0, 1, 3000.0, called_number=called))
         if any(isinstance(a, SetUp) for a in actions):
             kept[late] += 1
             stage.give(CallEstablished(k, exchange(1), 0, 50.0))
@@ -304,7 +304,7 @@
     for k in range(N):
         hurried = k % 2 == 0
         stage.circuits(1, 90, 0.5)
-        actions = stage.give(CallOffered(k, 1, 0, 1, 500.0 if hurried else 3000.0, called=k + 1))
+        actions = stage.give(CallOffered(k, 1, 0, 1, 500.0 if hurried else 3000.0, called_number=k + 1))
         if any(isinstance(a, SetUp) for a in actions):
             kept[hurried] += 1
             stage.give(CallEstablished(k, exchange(1), 0, 50.0))
@@ -327,7 +327,7 @@
 
 def test_pools_try_the_first_choice_then_the_freest_able_pool() -> None:
     kinds = (replace(SETTINGS.classes[0], pools=(1, 2, 3)),)
-    stage = Stage(replace(SETTINGS, mesh=False, here=-1, classes=kinds))
+    stage = Stage(replace(SETTINGS, mesh=False, own_number=-1, classes=kinds))
     stage.circuits(3, 99)
     stage.circuits(4, 100)
     call, _ = stage.call(1)
@@ -361,7 +361,7 @@
 
 
 def test_a_report_without_known_figures_changes_nothing() -> None:
-    stage = Stage(replace(SETTINGS, figures=(LoadField.UNKNOWN,)))
+    stage = Stage(replace(SETTINGS, load_fields=(LoadField.UNKNOWN,)))
     stage.give(Report(exchange(1), False, True, 0.0, (3.0,)))
     stage.give(CallOffered(1, 1, 0, 1, 3000.0))
     assert stage.sent(1) == [exchange(1)]
@@ -418,7 +418,7 @@
     stage = Stage()
     stage.circuits(1, 0)
     stage.circuits(2, 90)
-    stage.give(CallOffered(8000, 1, 0, 1, 3000.0, advised=3))
+    stage.give(CallOffered(8000, 1, 0, 1, 3000.0, advised_number=3))
     assert stage.sent(8000) == [exchange(3)]
     stage.give(CallEstablished(8000, exchange(3), 0, 80.0), 80.0)
     call, _ = stage.call(1)
@@ -440,7 +440,7 @@
     assert stage.sent(apart) == [exchange(2)]
 
 
-MESSAGING = replace(SETTINGS, may_message=True, softswitches=5)
+MESSAGING = replace(SETTINGS, may_message=True, softswitch_count=5)
 
 
 def answer(number: int, *legs: tuple[int, int]) -> bytes:
@@ -452,7 +452,7 @@
     stage.circuits(1, 0)
     stage.circuits(2, 90)
     call, actions = stage.call(1)
-    assert [a.to for a in actions if isinstance(a, SendPeerMessage)] == [1] and not stage.sent(call)
+    assert [a.receiver for a in actions if isinstance(a, SendPeerMessage)] == [1] and not stage.sent(call)
     stage.give(PeerMessage(1, answer(1, (2, 0), (3, 1), (4, 7))), 20.0)
     assert stage.sent(call) in ([exchange(3)], [exchange(4)])
     wide, actions = stage.call(1, width=4)
@@ -463,7 +463,7 @@
     stage = Stage(MESSAGING)
     stage.circuits(2, 7)
     (told,) = stage.give(PeerMessage(3, struct.pack(">cH", b"?", 0)))
-    assert isinstance(told, SendPeerMessage) and told.to == 3 and len(told.payload) <= 256
+    assert isinstance(told, SendPeerMessage) and told.receiver == 3 and len(told.payload) <= 256
     assert (2, 7) in struct.iter_unpack(">HB", told.payload[3:])
 
 
@@ -500,7 +500,7 @@
     stage = Stage(EVEN)
     calls = []
     for k in range(6):
-        stage.give(CallOffered(7000 + k, 1, 0, 1, 3000.0, called=7000 + k), 30.0)
+        stage.give(CallOffered(7000 + k, 1, 0, 1, 3000.0, called_number=7000 + k), 30.0)
         calls.append(7000 + k)
     stage.wakes.clear()  # no turn for two seconds
     for call in calls:
@@ -512,7 +512,9 @@
     for n in (1, 3, 4):
         stage.circuits(n, 0)
     stage.wakes.clear()
-    stage.give(CallOffered(7100, 2, 0, 1, 1700.0, called=7100), 2000.0)  # 1,300 of its 1,500 ms are gone
+    stage.give(
+        CallOffered(7100, 2, 0, 1, 1700.0, called_number=7100), 2000.0
+    )  # 1,300 of its 1,500 ms are gone
     for _ in range(7):
         stage.give(TimerFired(0), 50.0)
     assert stage.answers(7100) == 1
@@ -551,7 +553,7 @@
 @pytest.mark.parametrize("size", [3, 70])
 def test_rule_four_all_softswitches_together_spare_a_cold_exchange(size: int) -> None:
     """Each sends what it may at most: calls for the cold exchange are always waiting at every softswitch."""
-    stages = [Stage(replace(EVEN, here=0, softswitches=size), seed=k) for k in range(size)]
+    stages = [Stage(replace(EVEN, own_number=0, softswitch_count=size), seed=k) for k in range(size)]
     sent: list[float] = []
     for stage in stages:
         stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -299,8 +299,8 @@
     while not guard.objection(exchange, HUB, 10_500.0):
         guard.sent(HUB, 10_500.0)
         sent += 1
-    assert 2 <= sent <= 30.0 * 2 * 0.35 / (SET.softswitches - 1)
-    alone = Guard(replace(SET, softswitches=1))  # its part is the whole
+    assert 2 <= sent <= 30.0 * 2 * 0.35 / (SET.softswitch_count - 1)
+    alone = Guard(replace(SET, softswitch_count=1))  # its part is the whole
     alone.hubs = guard.hubs
     assert not alone.objection(exchange, HUB, 10_500.0)
     assert not guard.objection(exchange, HUB, 11_600.0)  # a new window
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -52,12 +52,12 @@
             SETTINGS,
             may_probe=True,
             may_message=True,
-            softswitches=others + 1,
-            reports=LoadReporting.WHEN_PROBED,
+            softswitch_count=others + 1,
+            load_reporting=LoadReporting.WHEN_PROBED,
         )
         if pools:
             kinds = tuple(replace(c, pools=tuple(range(others + 1))) for c in base.classes)
-            base = replace(base, mesh=False, here=-1, classes=kinds)
+            base = replace(base, mesh=False, own_number=-1, classes=kinds)
         self.pools = pools
         self.stage = Stage(base, others, seed)
         self.owed: dict[int, Owed] = {}
@@ -70,7 +70,7 @@
     def judge(self) -> None:
         for now, action in self.stage.done[self.seen :]:
             if isinstance(action, SetTimer):
-                self.timers.append((action.at_ms, action.token))
+                self.timers.append((action.due_ms, action.token))
             elif isinstance(action, SetUp):
                 call = self.owed[action.call]
                 assert not call.final, "sent after its end"
@@ -81,7 +81,7 @@
                 assert not call.transit or action.exchange[3] == call.number
                 assert self.pools or action.exchange != exchange(0)
                 call.out, call.attempts = action.exchange, call.attempts + 1
-                call.out_until = min(now + action.wait_ms if action.wait_ms else call.due, call.due)
+                call.out_until = min(now + action.timeout_ms if action.timeout_ms else call.due, call.due)
                 if action.exchange in self.cold:
                     self.cold[action.exchange].append(now)
                     recent = [t for t in self.cold[action.exchange] if t > now - SETTINGS.fall_ms]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -96,20 +96,20 @@
     assert (
         isinstance(first, Created)
         and first.seed == 7
-        and first.settings.reports is LoadReporting.WITH_ANSWERS
+        and first.settings.load_reporting is LoadReporting.WITH_ANSWERS
     )
     assert isinstance(news, ExchangeList) and news.kind is ListKind.CACHED
     assert [(e.exchange, e.number, e.health) for e in news.entries] == [
         (A, 0, Health.READY),
         (B, 1, Health.READY),
     ]
-    assert call == CallOffered(8, 1, 0, 1, 3000.0, called=5)
+    assert call == CallOffered(8, 1, 0, 1, 3000.0, called_number=5)
     assert stands == CallEstablished(8, B, 0, 40.0)
     assert ended == AttemptEnded(
         8, B, 1, AttemptOutcome.TURNED_BACK, False, 20.0, RejectionReason.PROCESSOR_FULL, 700.0, (5.0, 10.0)
     )
     assert getattr(left, "call", None) == 8 and woken == TimerFired(77)
-    assert isinstance(report, Report) and not report.asked and report.figures[:2] == (9.0, 10.0)
+    assert isinstance(report, Report) and not report.probed and report.load_values[:2] == (9.0, 10.0)
     assert message == PeerMessage(2, b"hi") and isinstance(killed, Killed)
 
 
