--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -183,7 +183,7 @@
         self.rates: dict[int, tuple[float, float]] = {}
         self.started = False
         self.ask_list_at: float | None = None
-        self.list_retry_ms = settings.ask_within_ms / 16
+        self.list_retry_ms = settings.list_request_within_ms / 16
         aim_ms = min(c.slo_ms for c in settings.classes)
         self.base_latency = aim_ms
         self.step_ms = min(settings.retransmit_ms or aim_ms, aim_ms / 3)
@@ -498,17 +498,17 @@
     # --- cold processors ---
 
     def _cold(self, far: FarEnd, now: float) -> bool:
-        return far.came_up > 0 and now - far.came_up < self.set.cold_ms
+        return far.came_up > 0 and now - far.came_up < self.set.cold_ramp_ms
 
     def _pace(self, far: FarEnd, now: float) -> float:
         """Set-ups a second that may go to a cold processor from here; 0 when it is warm."""
         if not self._cold(far, now):
             return 0.0
-        warm = max(now - far.came_up, 0.0) / self.set.cold_ms
-        ramp = self.set.cold_from + (1 - self.set.cold_from) * warm
+        warm = max(now - far.came_up, 0.0) / self.set.cold_ramp_ms
+        ramp = self.set.cold_initial_share + (1 - self.set.cold_initial_share) * warm
         rate, _ = self.rates.get(far.number, (0.0, now))
         least = COLD_LEAST / max(self.set.softswitch_count, 1)
-        return max(rate, least) * ramp * max(self.set.fall_multiple * COLD_SAFETY, 0.5)
+        return max(rate, least) * ramp * max(self.set.overload_multiple * COLD_SAFETY, 0.5)
 
     def _paced(self, far: FarEnd, now: float) -> bool:
         return now >= far.next_paced or not self._cold(far, now)
@@ -585,7 +585,7 @@
             self._got_nowhere(call)
             return
         if event.outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
-            call.not_before = now + self.set.release_ms
+            call.not_before = now + self.set.release_wait_ms
         if event.outcome in (
             AttemptOutcome.TIMED_OUT,
             AttemptOutcome.CUT,
--- a/badgerstile/interface.py
+++ b/badgerstile/interface.py
@@ -97,7 +97,7 @@
     own_number: int
     mesh: bool
     classes: tuple[CallClass, ...]
-    release_ms: float
+    release_wait_ms: float
     retransmit_ms: float
     max_attempts: int
     may_probe: bool
@@ -107,12 +107,12 @@
     load_reporting: LoadReporting
     load_fields: tuple[LoadField, ...]
     list_on_request: bool
-    ask_within_ms: float
+    list_request_within_ms: float
     drain_grace_ms: float
-    cold_from: float
-    cold_ms: float
-    fall_multiple: float
-    fall_ms: float
+    cold_initial_share: float
+    cold_ramp_ms: float
+    overload_multiple: float
+    overload_window_ms: float
     softswitch_count: int
     tick_ms: float
 
--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -137,7 +137,7 @@
         contracts: Contracts | None = None,
         life: Lifecycle | None = None,
     ) -> None:
-        settings = replace(settings, release_ms=settings.release_ms + RELEASE_MARGIN_MS)
+        settings = replace(settings, release_wait_ms=settings.release_wait_ms + RELEASE_MARGIN_MS)
         self.set = settings
         self.inbox = inbox
         self.hubs = hubs
@@ -335,7 +335,7 @@
         """The call is over for its caller: an attempt still out is called off."""
         attempt = exchange.attempt
         if attempt is not None:
-            exchange.not_before = self.now + self.set.release_ms
+            exchange.not_before = self.now + self.set.release_wait_ms
         self._forget(exchange)
         self._module(CallAbandoned(exchange.number))
         if attempt is not None:
@@ -402,7 +402,7 @@
         timed_out = event.ending is AttemptOutcome.TIMED_OUT
         exchange.why = Why.TIMED_OUT if timed_out else WHY.get(event.reason, Why.TURNED_AWAY)
         if event.ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
-            exchange.not_before = self.now + self.set.release_ms
+            exchange.not_before = self.now + self.set.release_wait_ms
         self._module(
             AttemptEnded(exchange.number, attempt.hub, attempt.number, event.ending, False,
                          self.now - attempt.sent_ms, event.reason, 0.0, event.report)
@@ -499,7 +499,7 @@
             attempt = exchange.attempt
             exchange.refuse(come_back, why or exchange.why)
             if attempt is not None:
-                exchange.not_before = self.now + self.set.release_ms
+                exchange.not_before = self.now + self.set.release_wait_ms
             record("refused", call=exchange.offer.call, why=(why or exchange.why).value, by="module",
                    attempts=exchange.attempts, come_back_ms=come_back)  # fmt: skip
             self._forget(exchange)
--- a/landingdeal/core/guard.py
+++ b/landingdeal/core/guard.py
@@ -73,9 +73,19 @@
     def _over_budget(self, hub: Listing, now: float) -> bool:
         """Guards a cold processor against the sum of all border controllers: each keeps to its own part."""
         age = now - hub.came_up_ms
-        if hub.came_up_ms <= 0 or age >= self.set.cold_ms or hub.room_per_s <= 0:
+        if hub.came_up_ms <= 0 or age >= self.set.cold_ramp_ms or hub.room_per_s <= 0:
             return False
-        ramp = self.set.cold_from + (1 - self.set.cold_from) * max(age, 0.0) / self.set.cold_ms
-        budget = hub.room_per_s * ramp * self.set.fall_multiple * self.set.fall_ms / 1000 * SHARE_OF_BUDGET
-        window = sum(1 for at in hub.sends if now - at < self.set.fall_ms)
+        ramp = (
+            self.set.cold_initial_share
+            + (1 - self.set.cold_initial_share) * max(age, 0.0) / self.set.cold_ramp_ms
+        )
+        budget = (
+            hub.room_per_s
+            * ramp
+            * self.set.overload_multiple
+            * self.set.overload_window_ms
+            / 1000
+            * SHARE_OF_BUDGET
+        )
+        window = sum(1 for at in hub.sends if now - at < self.set.overload_window_ms)
         return window + 1 > max(budget / max(self.set.softswitch_count - 1, 1), 2.0)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -172,7 +172,7 @@
         stage.circuits(3, 90)
         stage.give(TimerFired(0), 50.0)
     times = [t for t, a in stage.done if isinstance(a, SetUp) and a.call == call]
-    assert len(times) == 2 and times[1] >= told + SETTINGS.release_ms
+    assert len(times) == 2 and times[1] >= told + SETTINGS.release_wait_ms
 
 
 def test_the_attempt_limit_ends_in_an_answer() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -84,7 +84,7 @@
                 call.out_until = min(now + action.timeout_ms if action.timeout_ms else call.due, call.due)
                 if action.exchange in self.cold:
                     self.cold[action.exchange].append(now)
-                    recent = [t for t in self.cold[action.exchange] if t > now - SETTINGS.fall_ms]
+                    recent = [t for t in self.cold[action.exchange] if t > now - SETTINGS.overload_window_ms]
                     assert len(recent) <= 3, "a cold exchange is pushed"
             elif isinstance(action, Refuse | FailCall):
                 call = self.owed[action.call]
@@ -180,7 +180,7 @@
             stage.give(CallEstablished(name, at, go, 80.0))
             return
         if ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT):
-            call.released = stage.now + SETTINGS.release_ms
+            call.released = stage.now + SETTINGS.release_wait_ms
         reason = RejectionReason.NONE
         if ending is AttemptOutcome.TURNED_BACK:
             reason = rng.choice(
