--- a/badgerstile/interface.py
+++ b/badgerstile/interface.py
@@ -1,7 +1,8 @@
-"""What goes into and comes out of the decision module: settings, events and actions. No decisions here.
+"""Settings, events and actions of the decision module. Contains no decisions.
 
-Times are milliseconds on the caller's clock. An exchange is named by an opaque `bytes` identity; its
-`number` is what a dialled destination refers to. Every event can be kept and replayed.
+Events go into `badgerstile.control.Softswitch`, and actions come out of it. Times are milliseconds on the
+clock of the program that runs the softswitch. An exchange has an opaque identity (`exchange`, bytes) and a
+number, to which the destination of a call refers. Events are plain data: they can be recorded and replayed.
 """
 
 from __future__ import annotations
@@ -11,7 +12,10 @@
 
 
 class RetryPolicy(Enum):
-    """What a class allows after an attempt that may have run."""
+    """Whether calls of a class may be tried again after an attempt that may have run.
+
+    Only FREE allows it. The values are those of `effect` in the settings.
+    """
 
     FREE = "free"
     GUARDED = "guarded"
@@ -19,15 +23,18 @@
 
 
 class LoadReporting(Enum):
-    """Where figures of far processors are found."""
+    """How the load values of other exchanges arrive."""
 
-    WITH_ANSWERS = "with_answers"
-    WHEN_PROBED = "when_probed"
+    WITH_ANSWERS = "with_answers"  # in the answers to set-ups
+    WHEN_PROBED = "when_probed"  # only in the answers to probes
     NONE = "none"
 
 
 class LoadField(Enum):
-    """A value that a load report can hold."""
+    """What one value of a load report stands for. The settings list the fields in the order of the values.
+
+    A reported value of -1 means that the exchange did not report the field.
+    """
 
     FREE_CIRCUITS = "free_circuits"
     GROUP_SIZE = "group_size"
@@ -41,44 +48,55 @@
 
 
 class Health(Enum):
+    """State of an exchange in the exchange list."""
+
     REMOVED = 0
     DRAINING = 1
     READY = 2
 
 
 class ListKind(Enum):
-    CHANGES = 0
-    FULL = 1
-    CACHED = 2
-    FAILED = 3
+    """What an `ExchangeList` event contains."""
+
+    CHANGES = 0  # only the entries that changed
+    FULL = 1  # the whole list
+    CACHED = 2  # the whole list as last known, perhaps outdated
+    FAILED = 3  # a request for the list failed
 
 
 class AttemptOutcome(Enum):
     """How an attempt ended. TURNED_BACK, UNREACHABLE and NOT_SENT prove that it never ran."""
 
-    ENDED = "ended"
-    ERROR = "error"
-    TURNED_BACK = "turned_back"
-    TIMED_OUT = "timed_out"
-    UNREACHABLE = "unreachable"
-    CUT = "cut"
-    CANCELLED = "cancelled"
-    NOT_SENT = "not_sent"
+    ENDED = "ended"  # an established call was released
+    ERROR = "error"  # the far end failed to process the set-up
+    TURNED_BACK = "turned_back"  # rejected by the far end
+    TIMED_OUT = "timed_out"  # no answer within the timeout of the attempt
+    UNREACHABLE = "unreachable"  # no connection to the exchange
+    CUT = "cut"  # broken off, for example because the connection was lost
+    CANCELLED = "cancelled"  # cancelled before an answer arrived
+    NOT_SENT = "not_sent"  # refused on the own side before it left
 
 
 class RejectionReason(Enum):
-    """Why an attempt was turned back, where that is told."""
+    """Why an attempt was rejected, as far as the far end reported it."""
 
     NONE = "none"
-    NO_CIRCUIT = "no_circuit"
-    TANDEM = "tandem"
-    TANDEM_FAR_FULL = "tandem_far_full"
-    PROCESSOR_FULL = "processor_full"
-    LINES_BUSY = "lines_busy"
+    NO_CIRCUIT = "no_circuit"  # no free circuit towards the exchange
+    TANDEM = "tandem"  # a tandem could not pass the call on
+    TANDEM_FAR_FULL = "tandem_far_full"  # the exchange behind the tandem is overloaded
+    PROCESSOR_FULL = "processor_full"  # the processor of the exchange is overloaded
+    LINES_BUSY = "lines_busy"  # the called lines are busy
 
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
+    """A class of calls.
+
+    A call established within `slo_ms` is worth `worth`, and a later one `worth * late_worth`. `width` is the
+    number of circuits that a call takes, `mean_hold_ms` its mean duration (0 for unknown). `pools` are the
+    numbers of the exchanges that can serve the class; empty means all of them.
+    """
+
     name: str
     slo_ms: float
     deadline_ms: float
@@ -92,7 +110,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a softswitch is told when it starts. `own_number` is the own number, -1 where pools are shared."""
+    """Settings of one softswitch, fixed from its start.
+
+    `own_number` is the number of the softswitch's own exchange, -1 where pools are shared (no mesh).
+    After an attempt that timed out, was cut or cancelled, `release_wait_ms` pass before the next one. If
+    `list_on_request` is set, the softswitch has to ask for the exchange list within `list_request_within_ms`.
+    A newly started exchange is cold for `cold_ramp_ms`: in this time its capacity rises from
+    `cold_initial_share` to 1. It may fail when it gets more than `overload_multiple` times its capacity
+    within `overload_window_ms`.
+    """
 
     own_number: int
     mesh: bool
@@ -119,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeEntry:
-    """One line of the exchange list; `started_ms` is the start of its processor, 0 for long ago."""
+    """One entry of the exchange list; `started_ms` is when its processor started, 0 for long ago."""
 
     exchange: bytes
     number: int
@@ -130,15 +156,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeList:
+    """The list of exchanges, or changes to it. A FAILED event has no entries."""
+
     kind: ListKind
     entries: tuple[ExchangeEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class CallOffered:
-    """A call to decide on. `advised_number` is the tandem a centre names, or in transit its origin.
+    """A call to decide on; it must be answered within `budget_ms`.
 
-    `called_number` is the number called, 0 where it is not told; a caller who dials again calls the same.
+    `advised_number` is the number of the tandem that a centre advises, or of the originating exchange if the
+    call is in transit; -1 for none. `called_number` is 0 if unknown; a caller who redials uses the same one.
     """
 
     call: int
@@ -155,6 +184,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEstablished:
+    """An attempt was answered: the call is established over this exchange."""
+
     call: int
     exchange: bytes
     attempt: int
@@ -163,7 +194,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """`call_ended`: the call is concluded. `reported_wait_ms`: the wait that a full far end named."""
+    """An attempt, or an established call, ended.
+
+    `call_ended` means that the call is over: no further attempt or answer is due. `reported_wait_ms` is the
+    waiting time that an exchange with a full processor reported.
+    """
 
     call: int
     exchange: bytes
@@ -178,12 +213,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAbandoned:
+    """The caller cancelled the call before it was answered."""
+
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Figures of an exchange, asked for by a probe (`probed`) or told when the free circuits changed."""
+    """Load values of an exchange: the result of a probe (`probed`) or sent because its free circuits changed.
+
+    `succeeded` is false for a probe that failed.
+    """
 
     exchange: bytes
     probed: bool
@@ -194,12 +234,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer expired that a `SetTimer` action with the same token had started."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another softswitch, as its own module wrote it; it may be old, repeated or garbled."""
+    """A message from another softswitch, unchecked; it may be old, repeated or garbled."""
 
     sender: int
     payload: bytes
@@ -219,6 +261,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
+    """Sends a set-up for the call to the exchange and gives up on the attempt after `timeout_ms`."""
+
     call: int
     exchange: bytes
     timeout_ms: float
@@ -226,13 +270,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
+    """Refuses a call that can safely be tried again: it has not run, or its class may run twice.
+
+    The caller is asked to wait for `retry_after_ms` first; 0 gives no such advice.
+    """
+
     call: int
     retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class FailCall:
-    """The simulator's wire has no come-back time for it; real callers are told."""
+    """Fails a call that may have run and must not run twice.
+
+    The simulator's wire has no field for `retry_after_ms` of this action; real callers get it.
+    """
 
     call: int
     retry_after_ms: float = 0.0
@@ -240,12 +292,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Asks an exchange for its load values; the result is a `Report`."""
+
     exchange: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """A message of at most 256 bytes to the softswitch of this index."""
+    """Sends a message of at most 256 bytes to the softswitch with the index `receiver`."""
 
     receiver: int
     payload: bytes
@@ -253,17 +307,23 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Asks for a `TimerFired` event with this token at `due_ms`."""
+
     due_ms: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
+    """Subscribes to the exchange list, or unsubscribes from it if not `enabled`."""
+
     enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
+    """Writes a line to the log."""
+
     text: str
 
 
