--- a/badgerstile/__init__.py
+++ b/badgerstile/__init__.py
@@ -1,1 +1,1 @@
-"""badgerstile: the decisions of a signalling controller (which calls are set up, and over which route)."""
+"""Decision module of a signalling controller: which calls are set up, and over which route."""
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -33,7 +33,7 @@
     TimerFired,
     WatchList,
 )
-from badgerstile.wire import Created, Decoder, Killed, WireError, encode, read_settings
+from badgerstile.wire import Decoder, InstanceCreated, InstanceKilled, WireError, encode, read_settings
 
 INFO = {
     "balancers": 3,
@@ -61,9 +61,9 @@
     return struct.pack(">IdII", len(body), now, len(records), number) + body
 
 
-def created(info: dict[str, object] | None = None, inst: int = 0) -> bytes:
+def created(info: dict[str, object] | None = None, instance: int = 0) -> bytes:
     text = json.dumps(INFO if info is None else info).encode()
-    return record(1, struct.pack(">HQI", inst, 7, len(text)) + text)
+    return record(1, struct.pack(">HQI", instance, 7, len(text)) + text)
 
 
 def listing() -> list[bytes]:
@@ -81,7 +81,7 @@
 
 def decode(*records: bytes) -> list[object]:
     body = b"".join(records)
-    return [event for _, event in Decoder().batch(body, len(records))]
+    return [event for _, event in Decoder().decode_batch(body, len(records))]
 
 
 def test_every_event_is_read() -> None:
@@ -94,7 +94,7 @@
     )  # fmt: skip
     first, news, call, stands, ended, left, woken, report, message, killed = found
     assert (
-        isinstance(first, Created)
+        isinstance(first, InstanceCreated)
         and first.seed == 7
         and first.settings.load_reporting is LoadReporting.WITH_ANSWERS
     )
@@ -110,7 +110,7 @@
     )
     assert getattr(left, "call", None) == 8 and woken == TimerFired(77)
     assert isinstance(report, Report) and not report.probed and report.load_values[:2] == (9.0, 10.0)
-    assert message == PeerMessage(2, b"hi") and isinstance(killed, Killed)
+    assert message == PeerMessage(2, b"hi") and isinstance(killed, InstanceKilled)
 
 
 @pytest.mark.parametrize(
