--- a/badgerstile/wire.py
+++ b/badgerstile/wire.py
@@ -48,7 +48,7 @@
 REPLY_HEADER = struct.Struct(">III")  # number of records, body size, number of the batch
 RECORD_HEADER = struct.Struct(">BI")  # event or action code, size
 MAX_BATCH_BYTES = 256 * 1024 * 1024
-LIST_ENTRY = struct.Struct(">6sBBHBfd")
+LIST_ENTRY = struct.Struct(">6sBBHBfd")  # identity, zone, SKU, number, health, size, start in ms
 LOAD_FIELDS = {  # names in the settings
     "free": LoadField.FREE_CIRCUITS,
     "size": LoadField.GROUP_SIZE,
