--- a/badgerstile/interface.py
+++ b/badgerstile/interface.py
@@ -1,7 +1,8 @@
-"""What goes into and comes out of the decision module: settings, events and actions. No decisions here.
+"""Settings, events and actions of the decision module. Contains no decisions.
 
-Times are milliseconds on the caller's clock. An exchange is named by an opaque `bytes` identity; its
-`number` is what a dialled destination refers to. Every event can be kept and replayed.
+Events go into `badgerstile.control.Softswitch`, and actions come out of it. Times are milliseconds on the
+clock of the program that runs the softswitch. An exchange has an opaque identity (`exchange`, bytes) and a
+number, to which the destination of a call refers. Events are plain data: they can be recorded and replayed.
 """
 
 from __future__ import annotations
@@ -10,135 +11,163 @@
 from enum import Enum
 
 
-class Repeat(Enum):
-    """What a class allows after an attempt that may have run."""
+class RetryPolicy(Enum):
+    """Whether calls of a class may be tried again after an attempt that may have run.
+
+    Only FREE allows it. The values are those of `effect` in the settings.
+    """
 
     FREE = "free"
     GUARDED = "guarded"
     SINGLE_SHOT = "single_shot"
 
 
-class Reports(Enum):
-    """Where figures of far processors are found."""
+class LoadReporting(Enum):
+    """How the load values of other exchanges arrive."""
 
-    WITH_ANSWERS = "with_answers"
-    WHEN_PROBED = "when_probed"
+    WITH_ANSWERS = "with_answers"  # in the answers to set-ups
+    WHEN_PROBED = "when_probed"  # only in the answers to probes
     NONE = "none"
 
 
-class Figure(Enum):
-    """A value that a load report can hold."""
+class LoadField(Enum):
+    """What one value of a load report stands for. The settings list the fields in the order of the values.
+
+    A reported value of -1 means that the exchange did not report the field.
+    """
 
     FREE_CIRCUITS = "free_circuits"
     GROUP_SIZE = "group_size"
-    IN_WORK = "in_work"
-    QUEUE = "queue"
-    BUSY = "busy"
+    CALLS_IN_PROGRESS = "in_work"
+    QUEUE_LENGTH = "queue"
+    UTILIZATION = "busy"
     WAIT_MS = "wait_ms"
-    ROOM_PER_S = "room_per_s"
+    CAPACITY_PER_S = "room_per_s"
     HOLD_BACK = "hold_back"
     UNKNOWN = "unknown"
 
 
 class Health(Enum):
-    GONE = 0
+    """State of an exchange in the exchange list."""
+
+    REMOVED = 0
     DRAINING = 1
     READY = 2
 
 
 class ListKind(Enum):
-    CHANGES = 0
-    WHOLE = 1
-    REMEMBERED = 2
-    FAILED = 3
+    """What an `ExchangeList` event contains."""
+
+    CHANGES = 0  # only the entries that changed
+    FULL = 1  # the whole list
+    CACHED = 2  # the whole list as last known, perhaps outdated
+    FAILED = 3  # a request for the list failed
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended. TURNED_BACK, UNREACHABLE and NOT_SENT prove that it never ran."""
 
-    ENDED = "ended"
-    ERROR = "error"
-    TURNED_BACK = "turned_back"
-    TIMED_OUT = "timed_out"
-    UNREACHABLE = "unreachable"
-    CUT = "cut"
-    CANCELLED = "cancelled"
-    NOT_SENT = "not_sent"
+    ENDED = "ended"  # an established call was released
+    ERROR = "error"  # the far end failed to process the set-up
+    TURNED_BACK = "turned_back"  # rejected by the far end
+    TIMED_OUT = "timed_out"  # no answer within the timeout of the attempt
+    UNREACHABLE = "unreachable"  # no connection to the exchange
+    CUT = "cut"  # broken off, for example because the connection was lost
+    CANCELLED = "cancelled"  # cancelled before an answer arrived
+    NOT_SENT = "not_sent"  # refused on the own side before it left
 
 
-class Reason(Enum):
-    """Why an attempt was turned back, where that is told."""
+class RejectionReason(Enum):
+    """Why an attempt was rejected, as far as the far end reported it."""
 
     NONE = "none"
-    NO_CIRCUIT = "no_circuit"
-    TANDEM = "tandem"
-    TANDEM_FAR_FULL = "tandem_far_full"
-    PROCESSOR_FULL = "processor_full"
-    LINES_BUSY = "lines_busy"
+    NO_CIRCUIT = "no_circuit"  # no free circuit towards the exchange
+    TANDEM = "tandem"  # a tandem could not pass the call on
+    TANDEM_FAR_FULL = "tandem_far_full"  # the exchange behind the tandem is overloaded
+    PROCESSOR_FULL = "processor_full"  # the processor of the exchange is overloaded
+    LINES_BUSY = "lines_busy"  # the called lines are busy
 
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
+    """A class of calls.
+
+    A call established within `slo_ms` is worth `worth`, and a later one `worth * late_worth`. `width` is the
+    number of circuits that a call takes, `mean_hold_ms` its mean duration (0 for unknown). `pools` are the
+    numbers of the exchanges that can serve the class; empty means all of them.
+    """
+
     name: str
-    aim_ms: float
+    slo_ms: float
     deadline_ms: float
     worth: float
     late_worth: float
     width: int
-    hold_ms: float
-    repeat: Repeat = Repeat.FREE
+    mean_hold_ms: float
+    retry_policy: RetryPolicy = RetryPolicy.FREE
     pools: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a softswitch is told when it starts. `here` is the own number, -1 where pools are shared."""
+    """Settings of one softswitch, fixed from its start.
+
+    `own_number` is the number of the softswitch's own exchange, -1 where pools are shared (no mesh).
+    After an attempt that timed out, was cut or cancelled, `release_wait_ms` pass before the next one. If
+    `list_on_request` is set, the softswitch has to ask for the exchange list within `list_request_within_ms`.
+    A newly started exchange is cold for `cold_ramp_ms`: in this time its capacity rises from
+    `cold_initial_share` to 1. It may fail when it gets more than `overload_multiple` times its capacity
+    within `overload_window_ms`.
+    """
 
-    here: int
+    own_number: int
     mesh: bool
     classes: tuple[CallClass, ...]
-    release_ms: float
+    release_wait_ms: float
     retransmit_ms: float
     max_attempts: int
     may_probe: bool
     may_message: bool
-    retry_advice: bool
-    max_retry_advice_ms: float
-    reports: Reports
-    figures: tuple[Figure, ...]
+    sends_retry_after: bool
+    max_retry_after_ms: float
+    load_reporting: LoadReporting
+    load_fields: tuple[LoadField, ...]
     list_on_request: bool
-    ask_within_ms: float
+    list_request_within_ms: float
     drain_grace_ms: float
-    cold_from: float
-    cold_ms: float
-    fall_multiple: float
-    fall_ms: float
-    softswitches: int
+    cold_initial_share: float
+    cold_ramp_ms: float
+    overload_multiple: float
+    overload_window_ms: float
+    softswitch_count: int
     tick_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """One line of the exchange list; `came_up_ms` is the start of its processor, 0 for long ago."""
+class ExchangeEntry:
+    """One entry of the exchange list; `started_ms` is when its processor started, 0 for long ago."""
 
     exchange: bytes
     number: int
     health: Health
-    came_up_ms: float
+    started_ms: float
     size: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeList:
+    """The list of exchanges, or changes to it. A FAILED event has no entries."""
+
     kind: ListKind
-    entries: tuple[Listed, ...] = ()
+    entries: tuple[ExchangeEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class CallOffered:
-    """A call to decide on. `advised` is the tandem a centre names, or in transit its origin.
+    """A call to decide on; it must be answered within `budget_ms`.
 
-    `called` is the number called, 0 where it is not told; a caller who dials again calls the same.
+    `advised_number` is the number of the tandem that a centre advises, or of the originating exchange if the
+    call is in transit; -1 for none. `called_number` is 0 if unknown; a caller who redials uses the same one.
     """
 
     call: int
@@ -146,15 +175,17 @@
     call_class: int
     width: int
     budget_ms: float
-    advised: int = -1
-    redialled: bool = False
+    advised_number: int = -1
+    is_redial: bool = False
     in_transit: bool = False
-    again_after_cut: bool = False
-    called: int = 0
+    is_redial_after_cut: bool = False
+    called_number: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class CallStands:
+class CallEstablished:
+    """An attempt was answered: the call is established over this exchange."""
+
     call: int
     exchange: bytes
     attempt: int
@@ -163,99 +194,137 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """`over`: the call is concluded. `says_wait_ms`: the wait that a full far end named."""
+    """An attempt, or an established call, ended.
+
+    `call_ended` means that the call is over: no further attempt or answer is due. `reported_wait_ms` is the
+    waiting time that an exchange with a full processor reported.
+    """
 
     call: int
     exchange: bytes
     attempt: int
-    ending: Ending
-    over: bool
+    outcome: AttemptOutcome
+    call_ended: bool
     latency_ms: float
-    reason: Reason = Reason.NONE
-    says_wait_ms: float = 0.0
-    report: tuple[float, ...] = ()
+    reason: RejectionReason = RejectionReason.NONE
+    reported_wait_ms: float = 0.0
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallAbandoned:
+    """The caller cancelled the call before it was answered."""
+
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Figures of an exchange, asked for by a probe (`asked`) or told when the free circuits changed."""
+    """Load values of an exchange: the result of a probe (`probed`) or sent because its free circuits changed.
+
+    `succeeded` is false for a probe that failed.
+    """
 
     exchange: bytes
-    asked: bool
-    well: bool
+    probed: bool
+    succeeded: bool
     latency_ms: float
-    figures: tuple[float, ...] = ()
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Woken:
+class TimerFired:
+    """A timer expired that a `SetTimer` action with the same token had started."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another softswitch, as its own module wrote it; it may be old, repeated or garbled."""
+    """A message from another softswitch, unchecked; it may be old, repeated or garbled."""
 
     sender: int
     payload: bytes
 
 
-Event = ExchangeList | CallOffered | CallStands | AttemptEnded | CallerLeft | Report | Woken | PeerMessage
+Event = (
+    ExchangeList
+    | CallOffered
+    | CallEstablished
+    | AttemptEnded
+    | CallAbandoned
+    | Report
+    | TimerFired
+    | PeerMessage
+)
 
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
+    """Sends a set-up for the call to the exchange and gives up on the attempt after `timeout_ms`."""
+
     call: int
     exchange: bytes
-    wait_ms: float
+    timeout_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
+    """Refuses a call that can safely be tried again: it has not run, or its class may run twice.
+
+    The caller is asked to wait for `retry_after_ms` first; 0 gives no such advice.
+    """
+
     call: int
-    come_back_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
-    """The simulator's wire has no come-back time for it; real callers are told."""
+class FailCall:
+    """Fails a call that may have run and must not run twice.
+
+    The simulator's wire has no field for `retry_after_ms` of this action; real callers get it.
+    """
 
     call: int
-    come_back_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Asks an exchange for its load values; the result is a `Report`."""
+
     exchange: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """A message of at most 256 bytes to the softswitch of this index."""
+class SendPeerMessage:
+    """Sends a message of at most 256 bytes to the softswitch with the index `receiver`."""
 
-    to: int
+    receiver: int
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class WakeAt:
-    at_ms: float
+class SetTimer:
+    """Asks for a `TimerFired` event with this token at `due_ms`."""
+
+    due_ms: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
-    on: bool = True
+class WatchList:
+    """Subscribes to the exchange list, or unsubscribes from it if not `enabled`."""
+
+    enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogMessage:
+    """Writes a line to the log."""
+
     text: str
 
 
-Action = SetUp | Refuse | GiveUp | Probe | Tell | WakeAt | FollowList | Say
+Action = SetUp | Refuse | FailCall | Probe | SendPeerMessage | SetTimer | WatchList | LogMessage
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -10,7 +10,7 @@
 import hashlib
 import math
 
-from badgerstile.interface import Ending, Figure, Reason, Settings
+from badgerstile.interface import AttemptOutcome, LoadField, RejectionReason, Settings
 from landingdeal.core.broker import CAUSE_CUT, Inbox
 from landingdeal.core.events import (
     Attempt,
@@ -45,8 +45,8 @@
 MAX_CALLS = 4000
 STATUS_BY_REFUSAL_REASON = {Why.BUSY: 486, Why.TIMED_OUT: 408, Why.FAILED: 500, Why.FORBIDDEN: 403}
 OUTCOMES_BY_STATUS = {
-    408: Ending.TIMED_OUT, 480: Ending.TURNED_BACK, 487: Ending.CANCELLED, 503: Ending.TURNED_BACK,
-    504: Ending.CUT,
+    408: AttemptOutcome.TIMED_OUT, 480: AttemptOutcome.TURNED_BACK, 487: AttemptOutcome.CANCELLED,
+    503: AttemptOutcome.TURNED_BACK, 504: AttemptOutcome.CUT,
 }  # fmt: skip
 BUSY_STATUSES = (486, 600)
 
@@ -325,7 +325,7 @@
     def _send_invite(self, attempt: Attempt) -> None:
         hub, call = self.hubs.get(attempt.hub), self.calls.get(attempt.offer.call)
         if hub is None or call is None:
-            self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
             return
         remaining_ms = attempt.deadline_ms - self.now()
         if remaining_ms <= 0:
@@ -370,14 +370,17 @@
         if leg.cancelled:
             return
         transaction = leg.transaction
-        outcome, reason = OUTCOMES_BY_STATUS.get(message.status, Ending.ERROR), rejection_reason(message)
+        outcome, reason = (
+            OUTCOMES_BY_STATUS.get(message.status, AttemptOutcome.ERROR),
+            rejection_reason(message),
+        )
         if not message.get("via") and message.status == 503:  # the transport failed
             connected = transaction is None or transaction.flow.was_connected
-            outcome = Ending.CUT if connected else Ending.UNREACHABLE
-        elif message.status == 503 and reason is Reason.NONE:
-            reason = Reason.PROCESSOR_FULL
+            outcome = AttemptOutcome.CUT if connected else AttemptOutcome.UNREACHABLE
+        elif message.status == 503 and reason is RejectionReason.NONE:
+            reason = RejectionReason.PROCESSOR_FULL
         elif message.status in BUSY_STATUSES:
-            reason = Reason.LINES_BUSY
+            reason = RejectionReason.LINES_BUSY
         self.inbox.tell(Ended(leg.attempt, outcome, reason, load_values(message, self.settings)))
 
     def _handle_2xx(self, leg: HubLeg, message: Message) -> None:
@@ -474,11 +477,11 @@
         self.used_circuits[hub.name] += change
         if hub.circuits:
             values_by_field = {
-                Figure.FREE_CIRCUITS: hub.circuits - self.used_circuits[hub.name],
-                Figure.GROUP_SIZE: hub.circuits,
+                LoadField.FREE_CIRCUITS: hub.circuits - self.used_circuits[hub.name],
+                LoadField.GROUP_SIZE: hub.circuits,
             }
             reported_values = tuple(
-                float(values_by_field.get(load_field, -1)) for load_field in self.settings.figures
+                float(values_by_field.get(load_field, -1)) for load_field in self.settings.load_fields
             )
             self.inbox.tell(GroupState(hub.name, reported_values))
 
@@ -736,7 +739,7 @@
             if call.caller_side is not None or call.hub_side is not None:
                 self._end_call(call, CAUSE_CUT, None)
             elif not call.invite_transaction.final_response_sent:  # it arrived after the core had ended
-                self.refuse_call(call, self.settings.max_retry_advice_ms, Why.TURNED_AWAY)
+                self.refuse_call(call, self.settings.max_retry_after_ms, Why.TURNED_AWAY)
         self.all_released = True
 
     def flow_lost(self, flow: Flow) -> None:
--- a/landingdeal/sip/headers.py
+++ b/landingdeal/sip/headers.py
@@ -2,23 +2,23 @@
 
 from __future__ import annotations
 
-from badgerstile.interface import Figure, Reason, Settings
+from badgerstile.interface import LoadField, RejectionReason, Settings
 from landingdeal.sip.message import Message
 
 LOAD_FIELD_NAMES = {
-    "x0": Figure.FREE_CIRCUITS, "free": Figure.FREE_CIRCUITS,
-    "x1": Figure.GROUP_SIZE, "size": Figure.GROUP_SIZE,
-    "queue": Figure.QUEUE, "depth": Figure.QUEUE,
-    "qps": Figure.ROOM_PER_S, "can_take": Figure.ROOM_PER_S,
-    "util": Figure.BUSY, "load_share": Figure.BUSY,
-    "latency_ms": Figure.WAIT_MS, "mean_ms": Figure.WAIT_MS,
-    "inflight": Figure.IN_WORK, "concurrent": Figure.IN_WORK,
-    "eps": Figure.HOLD_BACK, "hold_back": Figure.HOLD_BACK,
+    "x0": LoadField.FREE_CIRCUITS, "free": LoadField.FREE_CIRCUITS,
+    "x1": LoadField.GROUP_SIZE, "size": LoadField.GROUP_SIZE,
+    "queue": LoadField.QUEUE_LENGTH, "depth": LoadField.QUEUE_LENGTH,
+    "qps": LoadField.CAPACITY_PER_S, "can_take": LoadField.CAPACITY_PER_S,
+    "util": LoadField.UTILIZATION, "load_share": LoadField.UTILIZATION,
+    "latency_ms": LoadField.WAIT_MS, "mean_ms": LoadField.WAIT_MS,
+    "inflight": LoadField.CALLS_IN_PROGRESS, "concurrent": LoadField.CALLS_IN_PROGRESS,
+    "eps": LoadField.HOLD_BACK, "hold_back": LoadField.HOLD_BACK,
 }  # fmt: skip
 ALLOW_HEADER = ("allow", "INVITE, ACK, CANCEL, BYE, OPTIONS")
 REASONS_BY_NOTE = {
-    "nc": Reason.NO_CIRCUIT, "tb": Reason.TANDEM, "fovl": Reason.TANDEM_FAR_FULL,
-    "ovl": Reason.PROCESSOR_FULL, "busy": Reason.LINES_BUSY,
+    "nc": RejectionReason.NO_CIRCUIT, "tb": RejectionReason.TANDEM, "fovl": RejectionReason.TANDEM_FAR_FULL,
+    "ovl": RejectionReason.PROCESSOR_FULL, "busy": RejectionReason.LINES_BUSY,
 }  # fmt: skip
 
 
@@ -34,9 +34,9 @@
     return "reason", f"Q.850;cause={cause}"
 
 
-def rejection_reason(message: Message) -> Reason:
+def rejection_reason(message: Message) -> RejectionReason:
     """Returns the reason that a hub gives in X-Note; NONE if the note is missing or unknown."""
-    return REASONS_BY_NOTE.get(message.get("x-note").strip(), Reason.NONE)
+    return REASONS_BY_NOTE.get(message.get("x-note").strip(), RejectionReason.NONE)
 
 
 def load_values(message: Message, settings: Settings) -> tuple[float, ...]:
@@ -48,11 +48,11 @@
     report = message.get("x-state")
     if not report:
         return ()
-    reported: dict[Figure, float] = {}
+    reported: dict[LoadField, float] = {}
     for part in report.split(";"):
         name, _, value = part.partition(":")
         try:
-            reported[LOAD_FIELD_NAMES.get(name.strip(), Figure.UNKNOWN)] = float(value)
+            reported[LOAD_FIELD_NAMES.get(name.strip(), LoadField.UNKNOWN)] = float(value)
         except ValueError:
             continue
-    return tuple(reported.get(load_field, -1.0) for load_field in settings.figures)
+    return tuple(reported.get(load_field, -1.0) for load_field in settings.load_fields)
