--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -40,36 +40,55 @@
 )
 
 STALL_MS = 100.0  # a wake so much later than asked: this softswitch itself stood still
-SAME_MS = 50.0  # callers' times nearer than this are the same
-VOTES_MOST = 20  # callers of another time than usual that make theirs the usual one
+BUDGET_TOLERANCE_MS = 50.0  # callers' times nearer than this are the same
+MAX_BUDGET_VOTES = 20  # callers of another time than usual that make theirs the usual one
 TICK_MS = 100.0  # how often held calls and silent exchanges are looked at when nothing else happens
-SHARE_LIFE_MS = 5000.0  # a share not heard again for so long is forgotten (the design's default)
-PROBE_EVERY_MS = 1000.0  # where only probes tell, ask about once a second (the design's default)
-PROBERS = 8  # senders that may probe one exchange so often; more of them ask more rarely, for its work's sake
-TARGET = 0.5  # wait, in retransmission times, at which a mapped share stays: answers wait as set-ups do
-STEP = 0.4  # by which a mapped share moves in a second, for each target of wait above or below
-STEP_MOST = 4.0  # targets above: more does not step faster
-PROBE_LOST = 2.0  # a failed probe counts as a wait of so many retransmission times
-WAIT_LOW, WAIT_HIGH = 0.6, 2.4  # in retransmission times: a far wait from which thinning starts, and is full
-TRICKLE = 0.05  # always left through, so that answers keep telling how the far end does
-SMOOTH = 0.3  # weight of a new latency sample: about three answers decide
-WINDOW_START, WINDOW_LEAST, WINDOW_MOST = 4.0, 0.25, 16.0  # unanswered set-ups towards one exchange
-MIX = 0.02  # weight of a new call in the mix of worths offered: some fifty calls decide
-TRIAL_LONGEST = 4  # trials of a dead exchange come no rarer than this many times the shortest pause
-RATE_HALF_MS, LN2_S = 15000.0, 693.1  # half-life of the rate at which calls for an exchange come
-COLD_SAFETY = 0.6  # part of the allowed multiple that is used towards a cold processor
-COLD_LEAST = 4.0  # calls a second, from all softswitches together, on which a cold pace is based at least
-COLD_SPREAD = 0.9  # of an aim, over which the first set-ups to a newly started exchange are spread
-RESERVE = 0.1  # of a first leg's circuits, which only direct calls and those without a group may take
-YIELD, YIELD_SMOOTH = 1.5, 0.04  # two-leg calls are thinned when under two thirds of some 25 attempts stand
-WAY_LIFE = 0.5  # of a mean call: so long a second leg is held to be open after a call stood over it
-NO_WAY = (0.2, 1.6)  # of a mean call, first and longest: a tandem that turned a call back is left alone
-LEGS_LIFE_MS = 3000.0  # what a far exchange told of its free circuits is used for so long
-ASKED_MS = 100.0  # a blocked call waits so long for such an answer; messages take a fraction of it
-LEGS_MOST = 60  # freest groups named in one answer: they fit the 256 bytes of a message
-BACK_LEAST_MS = 2000.0  # no processor starts again so fast: who answered since was only cut off from here
-GONE_MOST = 32  # exchanges that are gone and still known, in case they come back
-MARGIN_MS = 60.0  # an answer is given so long before the caller's time is up
+SHARE_LIFETIME_MS = 5000.0  # a share not heard again for so long is forgotten (the design's default)
+PROBE_INTERVAL_MS = 1000.0  # where only probes tell, ask about once a second (the design's default)
+MAX_PROBERS = (
+    8  # senders that may probe one exchange so often; more of them ask more rarely, for its work's sake
+)
+TARGET_WAIT = 0.5  # wait, in retransmission times, at which a mapped share stays: answers wait as set-ups do
+SHARE_STEP_PER_S = 0.4  # by which a mapped share moves in a second, for each target of wait above or below
+MAX_WAIT_EXCESS = 4.0  # targets above: more does not step faster
+FAILED_PROBE_WAIT = 2.0  # a failed probe counts as a wait of so many retransmission times
+SHED_START_WAIT, SHED_FULL_WAIT = (
+    0.6,
+    2.4,
+)  # in retransmission times: a far wait from which thinning starts, and is full
+MIN_ADMITTED_SHARE = 0.05  # always left through, so that answers keep telling how the far end does
+LATENCY_SMOOTHING = 0.3  # weight of a new latency sample: about three answers decide
+INITIAL_WINDOW, MIN_WINDOW, MAX_WINDOW = 4.0, 0.25, 16.0  # unanswered set-ups towards one exchange
+WORTH_SMOOTHING = 0.02  # weight of a new call in the mix of worths offered: some fifty calls decide
+MAX_RECOVERY_BACKOFF = 4  # trials of a dead exchange come no rarer than this many times the shortest pause
+RATE_HALF_LIFE_MS, LN2_MS_PER_S = 15000.0, 693.1  # half-life of the rate at which calls for an exchange come
+COLD_PACE_SAFETY = 0.6  # part of the allowed multiple that is used towards a cold processor
+MIN_COLD_RATE_PER_S = (
+    4.0  # calls a second, from all softswitches together, on which a cold pace is based at least
+)
+COLD_START_SPREAD = 0.9  # of an aim, over which the first set-ups to a newly started exchange are spread
+TRUNK_RESERVATION = (
+    0.1  # of a first leg's circuits, which only direct calls and those without a group may take
+)
+TANDEM_ADMISSION_FACTOR, TANDEM_SUCCESS_SMOOTHING = (
+    1.5,
+    0.04,
+)  # two-leg calls are thinned when under two thirds of some 25 attempts stand
+SECOND_LEG_LIFETIME = (
+    0.5  # of a mean call: so long a second leg is held to be open after a call stood over it
+)
+TANDEM_BACKOFF = (
+    0.2,
+    1.6,
+)  # of a mean call, first and longest: a tandem that turned a call back is left alone
+LEG_REPORT_LIFETIME_MS = 3000.0  # what a far exchange told of its free circuits is used for so long
+LEG_QUERY_TIMEOUT_MS = (
+    100.0  # a blocked call waits so long for such an answer; messages take a fraction of it
+)
+MAX_REPORTED_LEGS = 60  # freest groups named in one answer: they fit the 256 bytes of a message
+MIN_RESTART_MS = 2000.0  # no processor starts again so fast: who answered since was only cut off from here
+MAX_GONE_EXCHANGES = 32  # exchanges that are gone and still known, in case they come back
+ANSWER_MARGIN_MS = 60.0  # an answer is given so long before the caller's time is up
 
 
 class FarEnd:
@@ -90,7 +109,7 @@
         self.next_paced = float("-inf")
         self.probed_at = float("-inf")
         self.stepped, self.stepped_at = 0.0, float("-inf")
-        self.window, self.cut_at, self.open_at = WINDOW_START, float("-inf"), float("-inf")
+        self.window, self.cut_at, self.open_at = INITIAL_WINDOW, float("-inf"), float("-inf")
         self.no_way: dict[int, tuple[float, float]] = {}
         self.ways: dict[int, float] = {}
         self.legs: dict[int, int] = {}  # its own free circuits, as it told them
@@ -104,9 +123,9 @@
     def pace_by(self, wait_steps: float, latency_ms: float, now: float) -> None:
         """The window of unanswered set-ups: quick answers widen it, slow ones halve it once per latency."""
         if wait_steps < 1:
-            self.window = min(self.window + 1 / max(self.window, 1), WINDOW_MOST)
+            self.window = min(self.window + 1 / max(self.window, 1), MAX_WINDOW)
         elif wait_steps > 2 and now - self.cut_at > latency_ms:
-            self.window, self.cut_at = max(self.window / 2, WINDOW_LEAST), now
+            self.window, self.cut_at = max(self.window / 2, MIN_WINDOW), now
         self.open_at = now + latency_ms * max(1 / self.window - 1, 0.0)
 
     def open(self, now: float) -> bool:
@@ -115,16 +134,18 @@
     def heed(self, targets: float, now: float) -> None:
         """Steps the mapped share by a wait, in targets; weighed by time: repeats of one report count once."""
         spell = min(now - self.stepped_at, 1000.0) / 1000
-        self.stepped += STEP * spell * min(targets - 1, STEP_MOST)
+        self.stepped += SHARE_STEP_PER_S * spell * min(targets - 1, MAX_WAIT_EXCESS)
         self.stepped, self.stepped_at = min(max(self.stepped, 0.0), 1.0), now
 
     def mapped(self, now: float) -> float:
         """The mapped share; it falls gradually when nothing more is heard, so that no burst follows."""
-        return self.stepped - STEP * max(now - self.stepped_at - SHARE_LIFE_MS / 2, 0.0) / 1000
+        return (
+            self.stepped - SHARE_STEP_PER_S * max(now - self.stepped_at - SHARE_LIFETIME_MS / 2, 0.0) / 1000
+        )
 
     def answered(self, now: float) -> None:
         self.trial = None
-        if self.died and now - self.last_answer > BACK_LEAST_MS:
+        if self.died and now - self.last_answer > MIN_RESTART_MS:
             # whatever comes back from the dead starts cold, even if no list has told so yet
             self.came_up = max(self.came_up, now)
         self.last_answer = now
@@ -133,7 +154,7 @@
     def failed(self, now: float, pause_ms: float) -> None:
         """A set-up was cut or found no connection, or a trial got no answer: the processor is gone."""
         self.failures, self.died = self.failures + 1, True
-        self.next_trial = now + pause_ms * min(2 ** (self.failures - 1), TRIAL_LONGEST)
+        self.next_trial = now + pause_ms * min(2 ** (self.failures - 1), MAX_RECOVERY_BACKOFF)
 
 
 class Call:
@@ -153,7 +174,7 @@
         self.transit = event.in_transit
         self.advised = -1 if event.in_transit else event.advised
         self.roll = roll
-        self.end_at = now + event.budget_ms - MARGIN_MS
+        self.end_at = now + event.budget_ms - ANSWER_MARGIN_MS
         late = now - first_at > aim_ms
         self.came_at = now if late else first_at
         self.aim_at = min(self.came_at + aim_ms, self.end_at - TICK_MS)
@@ -191,7 +212,7 @@
         self.unserved: dict[int, float] = {}  # numbers whose call got nowhere, and when it was first made
         self.own_down_until = float("-inf")
         self.hold_ms = max((c.hold_ms for c in settings.classes), default=0.0) or 10 * aim_ms
-        self.probe_ms = PROBE_EVERY_MS * max(settings.softswitches / PROBERS, 1.0)
+        self.probe_ms = PROBE_INTERVAL_MS * max(settings.softswitches / MAX_PROBERS, 1.0)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         self.actions = []
@@ -246,14 +267,16 @@
             if entry.came_up_ms > far.came_up:
                 far.came_up = entry.came_up_ms
                 if self._cold(far, now):  # all hear of it at once: their first set-ups are spread at random
-                    far.next_paced = now + self.random.random() * COLD_SPREAD * self.set.classes[0].aim_ms
+                    far.next_paced = (
+                        now + self.random.random() * COLD_START_SPREAD * self.set.classes[0].aim_ms
+                    )
         if event.kind is not ListKind.CHANGES:
             named = {entry.exchange for entry in event.entries}
             for exchange, far in self.far.items():
                 if exchange not in named:
                     far.health = Health.GONE
         gone = [far for far in self.far.values() if far.health is Health.GONE and not far.waiting]
-        for far in gone[:-GONE_MOST]:  # those that were met first
+        for far in gone[:-MAX_GONE_EXCHANGES]:  # those that were met first
             del self.far[far.exchange]
         self._index()
         self._retry_held(now)
@@ -285,21 +308,21 @@
             far.told_share, far.told_at = min(share, 1.0), now
 
     def _heed(self, far: FarEnd, wait_ms: float, now: float) -> None:
-        far.heed(wait_ms / (TARGET * self.step_ms), now)
+        far.heed(wait_ms / (TARGET_WAIT * self.step_ms), now)
 
     def _share_of_wait(self, wait_ms: float) -> float:
-        low, high = WAIT_LOW * self.step_ms, WAIT_HIGH * self.step_ms
+        low, high = SHED_START_WAIT * self.step_ms, SHED_FULL_WAIT * self.step_ms
         return min(max((wait_ms - low) / (high - low), 0.0), 1.0)
 
     def _share(self, far: FarEnd, now: float) -> float:
         """The hold-back share that counts for this exchange now."""
-        share = far.told_share if now - far.told_at < SHARE_LIFE_MS else 0.0
-        return min(max(share, far.mapped(now)), 1 - TRICKLE)
+        share = far.told_share if now - far.told_at < SHARE_LIFETIME_MS else 0.0
+        return min(max(share, far.mapped(now)), 1 - MIN_ADMITTED_SHARE)
 
     def _own_share(self, now: float) -> float:
         """The own processor is on every path: its probed share, or else what latencies have in common."""
         own, share = self.at.get(self.set.here), self._share_of_wait(self._common_wait(now))
-        return min(max(share, self._share(own, now) if own is not None else 0.0), 1 - TRICKLE)
+        return min(max(share, self._share(own, now) if own is not None else 0.0), 1 - MIN_ADMITTED_SHARE)
 
     # --- a call ---
 
@@ -309,15 +332,18 @@
         late = now - first_at > kind.aim_ms
         worth = kind.worth * (kind.late_worth if late else 1.0)
         for level in self.mix:
-            self.mix[level] *= 1 - MIX
-        self.mix[worth] = self.mix.get(worth, 0.0) + MIX
+            self.mix[level] *= 1 - WORTH_SMOOTHING
+        self.mix[worth] = self.mix.get(worth, 0.0) + WORTH_SMOOTHING
         # a share holds back the least worth first, at random among equals, and as much of the mix as it says
         below = sum(part for level, part in self.mix.items() if level < worth)
         roll = (below + self.random.random() * self.mix[worth]) / sum(self.mix.values())
         call = self.calls[event.call] = Call(event, now, first_at, kind.aim_ms, roll)
         if first_at == now:  # first tries only: what is wanted of an exchange, also while it is away
             rate, at = self.rates.get(call.number, (0.0, now))
-            self.rates[call.number] = (rate * 0.5 ** ((now - at) / RATE_HALF_MS) + LN2_S / RATE_HALF_MS, now)
+            self.rates[call.number] = (
+                rate * 0.5 ** ((now - at) / RATE_HALF_LIFE_MS) + LN2_MS_PER_S / RATE_HALF_LIFE_MS,
+                now,
+            )
         self._decide(call, now)
 
     def _kind(self, index: int) -> CallClass:
@@ -343,8 +369,10 @@
         if now == self.back_at:  # it waited for this softswitch, by as much as its time is shorter than usual
             waited = usual - event.budget_ms
             return now - waited if 0 < waited < self.stood_for + TICK_MS else now
-        votes += 1 if abs(event.budget_ms - usual) < SAME_MS else -1
-        self.usual[event.call_class] = (usual, min(votes, VOTES_MOST)) if votes >= 0 else (event.budget_ms, 1)
+        votes += 1 if abs(event.budget_ms - usual) < BUDGET_TOLERANCE_MS else -1
+        self.usual[event.call_class] = (
+            (usual, min(votes, MAX_BUDGET_VOTES)) if votes >= 0 else (event.budget_ms, 1)
+        )
         return now
 
     def _got_nowhere(self, call: Call) -> None:
@@ -377,7 +405,11 @@
             return None
         if far is None or call.roll < max(self._share(far, now), self._own_share(now)):
             return None if self.set.mesh else self._alternate(call, far, now)
-        if now > call.came_at and call.aim_at - now < far.latency and now - far.latency_at < SHARE_LIFE_MS:
+        if (
+            now > call.came_at
+            and call.aim_at - now < far.latency
+            and now - far.latency_at < SHARE_LIFETIME_MS
+        ):
             return None  # held too long to stand in time: its set-up would be work for nothing
         if not self._barred(far, now) and far.open(now):
             able = self.set.mesh or far.number in (self._kind(call.kind).pools or (far.number,))
@@ -397,13 +429,13 @@
         """
         able = self._kind(call.kind).pools
         displaces = self.set.mesh and to is not None and to.size > 0
-        legs = to.legs if to is not None and now - to.legs_at < LEGS_LIFE_MS else None
-        if self.set.mesh and call.roll < 1 - YIELD * self.yields:
+        legs = to.legs if to is not None and now - to.legs_at < LEG_REPORT_LIFETIME_MS else None
+        if self.set.mesh and call.roll < 1 - TANDEM_ADMISSION_FACTOR * self.yields:
             return None
         best, best_key = None, (-1, -1.0)
         for far in self.far.values():
-            room = call.width + (RESERVE * far.size if displaces else 0)
-            known = now - far.ways.get(call.number, float("-inf")) < self.hold_ms * WAY_LIFE
+            room = call.width + (TRUNK_RESERVATION * far.size if displaces else 0)
+            known = now - far.ways.get(call.number, float("-inf")) < self.hold_ms * SECOND_LEG_LIFETIME
             if far.number == call.advised or to is not None and far.number in to.legs:
                 known = True
             key = (int(known), float(far.free))
@@ -466,13 +498,13 @@
 
         Nothing depends on it: where the last questions stayed without answer, no call waits for the next.
         """
-        if not self.set.may_message or now - to.legs_at < LEGS_LIFE_MS:
+        if not self.set.may_message or now - to.legs_at < LEG_REPORT_LIFETIME_MS:
             return False
-        if now - to.asked_at >= LEGS_LIFE_MS:
+        if now - to.asked_at >= LEG_REPORT_LIFETIME_MS:
             to.asked_at, to.unheard = now, to.unheard + 1
             slot = self.slots.get(to.number, to.number)
             self.actions.append(Tell(slot, struct.pack(">cH", b"?", to.number)))
-        return to.unheard <= 2 and now - to.asked_at < ASKED_MS
+        return to.unheard <= 2 and now - to.asked_at < LEG_QUERY_TIMEOUT_MS
 
     def _message(self, sender: int, payload: bytes, now: float) -> None:
         """A question for, or an answer with, free circuits; anything else is ignored, as is a stranger's."""
@@ -482,7 +514,7 @@
         if kind == b"?" and number == self.set.here:
             ready = [f for f in self.at.values() if f.size > 0 and f.number != self.set.here]
             ready.sort(key=lambda far: -far.free)
-            told = [struct.pack(">HB", f.number, min(f.free, 255)) for f in ready[:LEGS_MOST]]
+            told = [struct.pack(">HB", f.number, min(f.free, 255)) for f in ready[:MAX_REPORTED_LEGS]]
             self.actions.append(Tell(sender, struct.pack(">cH", b"!", number) + b"".join(told)))
         elif kind == b"!" and len(payload) % 3 == 0 and number in self.at:
             far = self.at[number]
@@ -503,8 +535,8 @@
         warm = max(now - far.came_up, 0.0) / self.set.cold_ms
         ramp = self.set.cold_from + (1 - self.set.cold_from) * warm
         rate, _ = self.rates.get(far.number, (0.0, now))
-        least = COLD_LEAST / max(self.set.softswitches, 1)
-        return max(rate, least) * ramp * max(self.set.fall_multiple * COLD_SAFETY, 0.5)
+        least = MIN_COLD_RATE_PER_S / max(self.set.softswitches, 1)
+        return max(rate, least) * ramp * max(self.set.fall_multiple * COLD_PACE_SAFETY, 0.5)
 
     def _paced(self, far: FarEnd, now: float) -> bool:
         return now >= far.next_paced or not self._cold(far, now)
@@ -522,7 +554,7 @@
         if call is not None and call.number != far.number and self.set.mesh:
             far.no_way.pop(call.number, None)
             far.ways[call.number] = now
-            self.yields += (1 - self.yields) * YIELD_SMOOTH
+            self.yields += (1 - self.yields) * TANDEM_SUCCESS_SMOOTHING
             return  # over a tandem: the wait of two processors, which says little of either
         self.base_latency = min(self.base_latency, event.latency_ms)
         self._latency(far, event.latency_ms, now)
@@ -530,8 +562,8 @@
     def _latency(self, far: FarEnd, latency_ms: float, now: float) -> None:
         if now == self.back_at:  # what came while this softswitch stood still tells of itself alone
             return
-        fresh = now - far.latency_at < SHARE_LIFE_MS
-        far.latency += (latency_ms - far.latency) * (SMOOTH if fresh else 1.0)
+        fresh = now - far.latency_at < SHARE_LIFETIME_MS
+        far.latency += (latency_ms - far.latency) * (LATENCY_SMOOTHING if fresh else 1.0)
         far.latency_at = now
         far.pace_by((latency_ms - self.base_latency) / self.step_ms, latency_ms, now)
         own = self.at.get(self.set.here)
@@ -540,7 +572,7 @@
 
     def _common_wait(self, now: float) -> float:
         """What the latest latencies to all exchanges have in common: the own processor is on every path."""
-        seen = [f.latency for f in self.far.values() if now - f.latency_at < SHARE_LIFE_MS / 2]
+        seen = [f.latency for f in self.far.values() if now - f.latency_at < SHARE_LIFETIME_MS / 2]
         return min(seen) - self.base_latency if len(seen) > 1 else 0.0
 
     def _ended(self, event: AttemptEnded, now: float) -> None:
@@ -559,7 +591,7 @@
         full = event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.TURNED_BACK
         late = full or event.ending is Ending.TIMED_OUT
         if late and direct:  # it would have waited at least so long
-            waited = max(event.latency_ms, far.latency, self.base_latency + WAIT_HIGH * self.step_ms)
+            waited = max(event.latency_ms, far.latency, self.base_latency + SHED_FULL_WAIT * self.step_ms)
             self._latency(far, waited, now)
         if far.trial == event.call:
             far.trial = None
@@ -601,9 +633,9 @@
     def _failed_over(self, far: FarEnd, call: Call, now: float) -> None:
         """A tandem that did not set a call up is left alone towards that destination, ever longer."""
         call.tried.append(far.exchange)
-        self.yields -= self.yields * YIELD_SMOOTH
-        last = far.no_way.get(call.number, (0.0, self.hold_ms * NO_WAY[0] / 2))[1]
-        pause = min(2 * last, self.hold_ms * NO_WAY[1])
+        self.yields -= self.yields * TANDEM_SUCCESS_SMOOTHING
+        last = far.no_way.get(call.number, (0.0, self.hold_ms * TANDEM_BACKOFF[0] / 2))[1]
+        pause = min(2 * last, self.hold_ms * TANDEM_BACKOFF[1])
         far.no_way[call.number] = (now + pause, pause)
         far.ways.pop(call.number, None)
 
@@ -612,7 +644,7 @@
         if far is None:
             return
         if event.asked:  # a probe waits in the same line: its time, or its failing, tells of the processor
-            self._heed(far, event.latency_ms if event.well else PROBE_LOST * self.step_ms, now)
+            self._heed(far, event.latency_ms if event.well else FAILED_PROBE_WAIT * self.step_ms, now)
         if event.well:
             self._figures(far, event.figures, now)
             if not event.asked:
@@ -633,7 +665,7 @@
             pull = self.set.reports is Reports.WHEN_PROBED
             for far in self.far.values():
                 own = far.number == self.set.here  # which no other probes
-                every = PROBE_EVERY_MS if own else self.probe_ms
+                every = PROBE_INTERVAL_MS if own else self.probe_ms
                 used = own or pull and now - far.sent_at < 2 * every
                 if far.health is Health.READY and used and now - far.probed_at >= every:
                     far.probed_at = now
