--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -41,7 +41,7 @@
 
 STALL_MS = 100.0  # a wake so much later than asked: this softswitch itself stood still
 BUDGET_TOLERANCE_MS = 50.0  # callers' times nearer than this are the same
-MAX_BUDGET_VOTES = 20  # callers of another time than usual that make theirs the usual one
+MAX_BUDGET_VOTES = 20  # callers of another time than usual that make theirs the usual_budget one
 TICK_MS = 100.0  # how often held calls and silent exchanges are looked at when nothing else happens
 SHARE_LIFETIME_MS = 5000.0  # a share not heard again for so long is forgotten (the design's default)
 PROBE_INTERVAL_MS = 1000.0  # where only probes tell, ask about once a second (the design's default)
@@ -189,35 +189,35 @@
     """The decisions of one softswitch, which knows nothing but its own settings and events."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.set = settings
+        self.settings = settings
         self.random = random.Random(seed)
-        self.far: dict[bytes, FarEnd] = {}
-        self.at: dict[int, FarEnd] = {}
-        self.slots: dict[int, int] = {}
+        self.exchanges: dict[bytes, FarEnd] = {}
+        self.ready_by_number: dict[int, FarEnd] = {}
+        self.peer_by_number: dict[int, int] = {}
         self.calls: dict[int, Call] = {}
         self.actions: list[Action] = []
-        self.ticking, self.due = False, 0.0
-        self.back_at = float("-inf")  # the end of the last standstill of its own
-        self.stood_for = 0.0
-        self.yields = 1.0  # part of the attempts over tandems that stand
-        self.usual: dict[int, tuple[float, int]] = {}  # the time that first tries of a class come with
-        self.rates: dict[int, tuple[float, float]] = {}
+        self.timer_set, self.timer_due_at = False, 0.0
+        self.resumed_at = float("-inf")  # the end of the last standstill of its own
+        self.stalled_ms = 0.0
+        self.tandem_success = 1.0  # part of the attempts over tandems that stand
+        self.usual_budget: dict[int, tuple[float, int]] = {}  # the time that first tries of a class come with
+        self.offered_rates: dict[int, tuple[float, float]] = {}
         self.started = False
-        self.ask_list_at: float | None = None
+        self.list_request_at: float | None = None
         self.list_retry_ms = settings.ask_within_ms / 16
         aim_ms = min(c.aim_ms for c in settings.classes)
         self.base_latency = aim_ms
-        self.step_ms = min(settings.retransmit_ms or aim_ms, aim_ms / 3)
-        self.mix: dict[float, float] = {}  # parts of the worths in the calls offered of late
+        self.wait_unit_ms = min(settings.retransmit_ms or aim_ms, aim_ms / 3)
+        self.worth_mix: dict[float, float] = {}  # parts of the worths in the calls offered of late
         self.unserved: dict[int, float] = {}  # numbers whose call got nowhere, and when it was first made
         self.own_down_until = float("-inf")
-        self.hold_ms = max((c.hold_ms for c in settings.classes), default=0.0) or 10 * aim_ms
-        self.probe_ms = PROBE_INTERVAL_MS * max(settings.softswitches / MAX_PROBERS, 1.0)
+        self.mean_hold_ms = max((c.hold_ms for c in settings.classes), default=0.0) or 10 * aim_ms
+        self.probe_interval_ms = PROBE_INTERVAL_MS * max(settings.softswitches / MAX_PROBERS, 1.0)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         self.actions = []
-        if self.ticking and now - self.due > STALL_MS:
-            self.back_at, self.stood_for = now, now - self.due
+        if self.timer_set and now - self.timer_due_at > STALL_MS:
+            self.resumed_at, self.stalled_ms = now, now - self.timer_due_at
         if not self.started:
             self.started = True
             self._ask_list()
@@ -239,60 +239,60 @@
             case PeerMessage(sender, payload):
                 self._message(sender, payload, now)
             case Woken():
-                self.ticking = False
+                self.timer_set = False
                 self._tick(now)
             case _:
                 pass
-        if not self.ticking:
-            self.ticking, self.due = True, now + TICK_MS
+        if not self.timer_set:
+            self.timer_set, self.timer_due_at = True, now + TICK_MS
             self.actions.append(WakeAt(now + TICK_MS, 0))
         return self.actions
 
     # --- the list of exchanges ---
 
     def _ask_list(self) -> None:
-        self.ask_list_at = None
-        if self.set.list_on_request:
+        self.list_request_at = None
+        if self.settings.list_on_request:
             self.actions.append(FollowList())  # always answered, by a list or by a failure
 
     def _list(self, event: ExchangeList, now: float) -> None:
         if event.kind is ListKind.FAILED:
-            self.ask_list_at = now + self.list_retry_ms
+            self.list_request_at = now + self.list_retry_ms
             return
         for entry in event.entries:
-            far = self.far.get(entry.exchange)
+            far = self.exchanges.get(entry.exchange)
             if far is None:
-                far = self.far[entry.exchange] = FarEnd(entry)
+                far = self.exchanges[entry.exchange] = FarEnd(entry)
             far.number, far.health = entry.number, entry.health
             if entry.came_up_ms > far.came_up:
                 far.came_up = entry.came_up_ms
                 if self._cold(far, now):  # all hear of it at once: their first set-ups are spread at random
                     far.next_paced = (
-                        now + self.random.random() * COLD_START_SPREAD * self.set.classes[0].aim_ms
+                        now + self.random.random() * COLD_START_SPREAD * self.settings.classes[0].aim_ms
                     )
         if event.kind is not ListKind.CHANGES:
             named = {entry.exchange for entry in event.entries}
-            for exchange, far in self.far.items():
+            for exchange, far in self.exchanges.items():
                 if exchange not in named:
                     far.health = Health.GONE
-        gone = [far for far in self.far.values() if far.health is Health.GONE and not far.waiting]
+        gone = [far for far in self.exchanges.values() if far.health is Health.GONE and not far.waiting]
         for far in gone[:-MAX_GONE_EXCHANGES]:  # those that were met first
-            del self.far[far.exchange]
+            del self.exchanges[far.exchange]
         self._index()
         self._retry_held(now)
 
     def _index(self) -> None:
         """Which exchange now has a number: the ready one that came up last."""
-        self.at = {}
-        for far in self.far.values():
-            best = self.at.get(far.number)
+        self.ready_by_number = {}
+        for far in self.exchanges.values():
+            best = self.ready_by_number.get(far.number)
             if far.health is Health.READY and (best is None or far.came_up >= best.came_up):
-                self.at[far.number] = far
+                self.ready_by_number[far.number] = far
 
     # --- shares ---
 
     def _figures(self, far: FarEnd, figures: tuple[float, ...], now: float) -> None:
-        told = dict(zip(self.set.figures, figures, strict=False))
+        told = dict(zip(self.settings.figures, figures, strict=False))
         if told.get(Figure.FREE_CIRCUITS, -1) >= 0:
             taken = far.sent_width if far.sent_at == now else 0  # sent since this figure was true
             far.free = max(int(told[Figure.FREE_CIRCUITS]) - taken, 0)
@@ -300,7 +300,7 @@
         share = -1.0
         if told.get(Figure.HOLD_BACK, -1) >= 0:
             share = told[Figure.HOLD_BACK]
-        wait = max(told.get(Figure.WAIT_MS, -1.0), told.get(Figure.QUEUE, -1.0) * self.step_ms / 10)
+        wait = max(told.get(Figure.WAIT_MS, -1.0), told.get(Figure.QUEUE, -1.0) * self.wait_unit_ms / 10)
         if wait >= 0:
             share = max(share, self._share_of_wait(wait))
             self._heed(far, wait, now)
@@ -308,10 +308,10 @@
             far.told_share, far.told_at = min(share, 1.0), now
 
     def _heed(self, far: FarEnd, wait_ms: float, now: float) -> None:
-        far.heed(wait_ms / (TARGET_WAIT * self.step_ms), now)
+        far.heed(wait_ms / (TARGET_WAIT * self.wait_unit_ms), now)
 
     def _share_of_wait(self, wait_ms: float) -> float:
-        low, high = SHED_START_WAIT * self.step_ms, SHED_FULL_WAIT * self.step_ms
+        low, high = SHED_START_WAIT * self.wait_unit_ms, SHED_FULL_WAIT * self.wait_unit_ms
         return min(max((wait_ms - low) / (high - low), 0.0), 1.0)
 
     def _share(self, far: FarEnd, now: float) -> float:
@@ -321,7 +321,7 @@
 
     def _own_share(self, now: float) -> float:
         """The own processor is on every path: its probed share, or else what latencies have in common."""
-        own, share = self.at.get(self.set.here), self._share_of_wait(self._common_wait(now))
+        own, share = self.ready_by_number.get(self.settings.here), self._share_of_wait(self._common_wait(now))
         return min(max(share, self._share(own, now) if own is not None else 0.0), 1 - MIN_ADMITTED_SHARE)
 
     # --- a call ---
@@ -331,23 +331,23 @@
         first_at = self._first_try(event, kind, now)
         late = now - first_at > kind.aim_ms
         worth = kind.worth * (kind.late_worth if late else 1.0)
-        for level in self.mix:
-            self.mix[level] *= 1 - WORTH_SMOOTHING
-        self.mix[worth] = self.mix.get(worth, 0.0) + WORTH_SMOOTHING
+        for level in self.worth_mix:
+            self.worth_mix[level] *= 1 - WORTH_SMOOTHING
+        self.worth_mix[worth] = self.worth_mix.get(worth, 0.0) + WORTH_SMOOTHING
         # a share holds back the least worth first, at random among equals, and as much of the mix as it says
-        below = sum(part for level, part in self.mix.items() if level < worth)
-        roll = (below + self.random.random() * self.mix[worth]) / sum(self.mix.values())
+        below = sum(part for level, part in self.worth_mix.items() if level < worth)
+        roll = (below + self.random.random() * self.worth_mix[worth]) / sum(self.worth_mix.values())
         call = self.calls[event.call] = Call(event, now, first_at, kind.aim_ms, roll)
         if first_at == now:  # first tries only: what is wanted of an exchange, also while it is away
-            rate, at = self.rates.get(call.number, (0.0, now))
-            self.rates[call.number] = (
+            rate, at = self.offered_rates.get(call.number, (0.0, now))
+            self.offered_rates[call.number] = (
                 rate * 0.5 ** ((now - at) / RATE_HALF_LIFE_MS) + LN2_MS_PER_S / RATE_HALF_LIFE_MS,
                 now,
             )
         self._decide(call, now)
 
     def _kind(self, index: int) -> CallClass:
-        kinds = self.set.classes
+        kinds = self.settings.classes
         return kinds[index if index < len(kinds) else 0]
 
     def _first_try(self, event: CallOffered, kind: CallClass, now: float) -> float:
@@ -365,13 +365,15 @@
             return first_at
         if event.redialled:
             return now - 2 * kind.aim_ms
-        usual, votes = self.usual.get(event.call_class, (event.budget_ms, 0))
-        if now == self.back_at:  # it waited for this softswitch, by as much as its time is shorter than usual
-            waited = usual - event.budget_ms
-            return now - waited if 0 < waited < self.stood_for + TICK_MS else now
-        votes += 1 if abs(event.budget_ms - usual) < BUDGET_TOLERANCE_MS else -1
-        self.usual[event.call_class] = (
-            (usual, min(votes, MAX_BUDGET_VOTES)) if votes >= 0 else (event.budget_ms, 1)
+        usual_budget, votes = self.usual_budget.get(event.call_class, (event.budget_ms, 0))
+        if (
+            now == self.resumed_at
+        ):  # it waited for this softswitch, by as much as its time is shorter than usual
+            waited = usual_budget - event.budget_ms
+            return now - waited if 0 < waited < self.stalled_ms + TICK_MS else now
+        votes += 1 if abs(event.budget_ms - usual_budget) < BUDGET_TOLERANCE_MS else -1
+        self.usual_budget[event.call_class] = (
+            (usual_budget, min(votes, MAX_BUDGET_VOTES)) if votes >= 0 else (event.budget_ms, 1)
         )
         return now
 
@@ -384,16 +386,16 @@
         if now < call.not_before and call.not_before < call.aim_at:
             return
         far = None
-        if now >= call.not_before and call.attempts < self.set.max_attempts and now < call.end_at:
+        if now >= call.not_before and call.attempts < self.settings.max_attempts and now < call.end_at:
             far = self._route(call, now)
         if far is not None:
             self._send(call, far, now)
-        elif call.transit or now >= call.aim_at or call.attempts >= self.set.max_attempts:
+        elif call.transit or now >= call.aim_at or call.attempts >= self.settings.max_attempts:
             self._turn_away(call)
 
     def _route(self, call: Call, now: float) -> FarEnd | None:
-        far = self.at.get(call.number)
-        if call.number == self.set.here:
+        far = self.ready_by_number.get(call.number)
+        if call.number == self.settings.here:
             # handed over while the caller's own exchange starts: no group leads home, a tandem's two legs do
             blocked = call.transit or now < self.own_down_until
             return None if blocked else self._alternate(call, None, now)
@@ -404,7 +406,7 @@
         if now < self.own_down_until:
             return None
         if far is None or call.roll < max(self._share(far, now), self._own_share(now)):
-            return None if self.set.mesh else self._alternate(call, far, now)
+            return None if self.settings.mesh else self._alternate(call, far, now)
         if (
             now > call.came_at
             and call.aim_at - now < far.latency
@@ -412,12 +414,12 @@
         ):
             return None  # held too long to stand in time: its set-up would be work for nothing
         if not self._barred(far, now) and far.open(now):
-            able = self.set.mesh or far.number in (self._kind(call.kind).pools or (far.number,))
+            able = self.settings.mesh or far.number in (self._kind(call.kind).pools or (far.number,))
             if able and far.room(call.width) and far.exchange not in call.tried:
                 return far
-        elif self.set.mesh:
+        elif self.settings.mesh:
             return None  # the destination itself can't take it, whichever the route
-        if self.set.mesh and self._asks(far, now):
+        if self.settings.mesh and self._asks(far, now):
             return None
         return self._alternate(call, far, now)
 
@@ -428,14 +430,14 @@
         before one that is not known. Calls that have a group of their own leave room for direct ones.
         """
         able = self._kind(call.kind).pools
-        displaces = self.set.mesh and to is not None and to.size > 0
+        displaces = self.settings.mesh and to is not None and to.size > 0
         legs = to.legs if to is not None and now - to.legs_at < LEG_REPORT_LIFETIME_MS else None
-        if self.set.mesh and call.roll < 1 - TANDEM_ADMISSION_FACTOR * self.yields:
+        if self.settings.mesh and call.roll < 1 - TANDEM_ADMISSION_FACTOR * self.tandem_success:
             return None
         best, best_key = None, (-1, -1.0)
-        for far in self.far.values():
+        for far in self.exchanges.values():
             room = call.width + (TRUNK_RESERVATION * far.size if displaces else 0)
-            known = now - far.ways.get(call.number, float("-inf")) < self.hold_ms * SECOND_LEG_LIFETIME
+            known = now - far.ways.get(call.number, float("-inf")) < self.mean_hold_ms * SECOND_LEG_LIFETIME
             if far.number == call.advised or to is not None and far.number in to.legs:
                 known = True
             key = (int(known), float(far.free))
@@ -443,8 +445,8 @@
                 key > best_key
                 and far.free >= room
                 and far.health is Health.READY
-                and far.number not in (call.number, self.set.here)
-                and (self.set.mesh or not able or far.number in able)
+                and far.number not in (call.number, self.settings.here)
+                and (self.settings.mesh or not able or far.number in able)
                 and far.exchange not in call.tried
                 and (legs is None or legs.get(far.number, 0) >= call.width)
                 and now >= far.no_way.get(call.number, (now, 0.0))[0]
@@ -478,13 +480,13 @@
         far.sent_width = call.width + (far.sent_width if far.sent_at == now else 0)
         far.sent_at = now
         far.free = max(far.free - call.width, 0) if far.free >= 0 else far.free
-        wait = min(max(call.aim_at - now, self.step_ms), call.end_at - now)
+        wait = min(max(call.aim_at - now, self.wait_unit_ms), call.end_at - now)
         self.actions.append(SetUp(call.id, far.exchange, wait))
 
     def _turn_away(self, call: Call) -> None:
         del self.calls[call.id]
         self._got_nowhere(call)
-        advice = self.set.max_retry_advice_ms if self.set.retry_advice else 0.0
+        advice = self.settings.max_retry_advice_ms if self.settings.retry_advice else 0.0
         self.actions.append(GiveUp(call.id, advice) if self._spent(call) else Refuse(call.id, advice))
 
     def _spent(self, call: Call) -> bool:
@@ -498,45 +500,47 @@
 
         Nothing depends on it: where the last questions stayed without answer, no call waits for the next.
         """
-        if not self.set.may_message or now - to.legs_at < LEG_REPORT_LIFETIME_MS:
+        if not self.settings.may_message or now - to.legs_at < LEG_REPORT_LIFETIME_MS:
             return False
         if now - to.asked_at >= LEG_REPORT_LIFETIME_MS:
             to.asked_at, to.unheard = now, to.unheard + 1
-            slot = self.slots.get(to.number, to.number)
+            slot = self.peer_by_number.get(to.number, to.number)
             self.actions.append(Tell(slot, struct.pack(">cH", b"?", to.number)))
         return to.unheard <= 2 and now - to.asked_at < LEG_QUERY_TIMEOUT_MS
 
     def _message(self, sender: int, payload: bytes, now: float) -> None:
         """A question for, or an answer with, free circuits; anything else is ignored, as is a stranger's."""
-        if not self.set.may_message or sender >= self.set.softswitches or len(payload) < 3:
+        if not self.settings.may_message or sender >= self.settings.softswitches or len(payload) < 3:
             return
         kind, number = struct.unpack_from(">cH", payload)
-        if kind == b"?" and number == self.set.here:
-            ready = [f for f in self.at.values() if f.size > 0 and f.number != self.set.here]
+        if kind == b"?" and number == self.settings.here:
+            ready = [
+                f for f in self.ready_by_number.values() if f.size > 0 and f.number != self.settings.here
+            ]
             ready.sort(key=lambda far: -far.free)
             told = [struct.pack(">HB", f.number, min(f.free, 255)) for f in ready[:MAX_REPORTED_LEGS]]
             self.actions.append(Tell(sender, struct.pack(">cH", b"!", number) + b"".join(told)))
-        elif kind == b"!" and len(payload) % 3 == 0 and number in self.at:
-            far = self.at[number]
+        elif kind == b"!" and len(payload) % 3 == 0 and number in self.ready_by_number:
+            far = self.ready_by_number[number]
             far.legs = dict(struct.iter_unpack(">HB", payload[3:]))
             far.legs_at, far.unheard = now, 0
-            self.slots[number] = sender
+            self.peer_by_number[number] = sender
             self._retry_held(now, number)
 
     # --- cold processors ---
 
     def _cold(self, far: FarEnd, now: float) -> bool:
-        return far.came_up > 0 and now - far.came_up < self.set.cold_ms
+        return far.came_up > 0 and now - far.came_up < self.settings.cold_ms
 
     def _pace(self, far: FarEnd, now: float) -> float:
         """Set-ups a second that may go to a cold processor from here; 0 when it is warm."""
         if not self._cold(far, now):
             return 0.0
-        warm = max(now - far.came_up, 0.0) / self.set.cold_ms
-        ramp = self.set.cold_from + (1 - self.set.cold_from) * warm
-        rate, _ = self.rates.get(far.number, (0.0, now))
-        least = MIN_COLD_RATE_PER_S / max(self.set.softswitches, 1)
-        return max(rate, least) * ramp * max(self.set.fall_multiple * COLD_PACE_SAFETY, 0.5)
+        warm = max(now - far.came_up, 0.0) / self.settings.cold_ms
+        ramp = self.settings.cold_from + (1 - self.settings.cold_from) * warm
+        rate, _ = self.offered_rates.get(far.number, (0.0, now))
+        least = MIN_COLD_RATE_PER_S / max(self.settings.softswitches, 1)
+        return max(rate, least) * ramp * max(self.settings.fall_multiple * COLD_PACE_SAFETY, 0.5)
 
     def _paced(self, far: FarEnd, now: float) -> bool:
         return now >= far.next_paced or not self._cold(far, now)
@@ -545,38 +549,38 @@
 
     def _stands(self, event: CallStands, now: float) -> None:
         call = self.calls.pop(event.call, None)
-        far = self.far.get(event.exchange)
+        far = self.exchanges.get(event.exchange)
         if far is None:
             return
         far.waiting.pop(event.call, None)
         far.answered(now)
         self._retry_held(now, far.number)
-        if call is not None and call.number != far.number and self.set.mesh:
+        if call is not None and call.number != far.number and self.settings.mesh:
             far.no_way.pop(call.number, None)
             far.ways[call.number] = now
-            self.yields += (1 - self.yields) * TANDEM_SUCCESS_SMOOTHING
+            self.tandem_success += (1 - self.tandem_success) * TANDEM_SUCCESS_SMOOTHING
             return  # over a tandem: the wait of two processors, which says little of either
         self.base_latency = min(self.base_latency, event.latency_ms)
         self._latency(far, event.latency_ms, now)
 
     def _latency(self, far: FarEnd, latency_ms: float, now: float) -> None:
-        if now == self.back_at:  # what came while this softswitch stood still tells of itself alone
+        if now == self.resumed_at:  # what came while this softswitch stood still tells of itself alone
             return
         fresh = now - far.latency_at < SHARE_LIFETIME_MS
         far.latency += (latency_ms - far.latency) * (LATENCY_SMOOTHING if fresh else 1.0)
         far.latency_at = now
-        far.pace_by((latency_ms - self.base_latency) / self.step_ms, latency_ms, now)
-        own = self.at.get(self.set.here)
+        far.pace_by((latency_ms - self.base_latency) / self.wait_unit_ms, latency_ms, now)
+        own = self.ready_by_number.get(self.settings.here)
         if own is not None:
             self._heed(own, self._common_wait(now) / 2, now)
 
     def _common_wait(self, now: float) -> float:
         """What the latest latencies to all exchanges have in common: the own processor is on every path."""
-        seen = [f.latency for f in self.far.values() if now - f.latency_at < SHARE_LIFETIME_MS / 2]
+        seen = [f.latency for f in self.exchanges.values() if now - f.latency_at < SHARE_LIFETIME_MS / 2]
         return min(seen) - self.base_latency if len(seen) > 1 else 0.0
 
     def _ended(self, event: AttemptEnded, now: float) -> None:
-        far = self.far.get(event.exchange)
+        far = self.exchanges.get(event.exchange)
         call = self.calls.get(event.call)
         if far is not None:
             self._learn(far, call, event, now)
@@ -591,7 +595,9 @@
         full = event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.TURNED_BACK
         late = full or event.ending is Ending.TIMED_OUT
         if late and direct:  # it would have waited at least so long
-            waited = max(event.latency_ms, far.latency, self.base_latency + SHED_FULL_WAIT * self.step_ms)
+            waited = max(
+                event.latency_ms, far.latency, self.base_latency + SHED_FULL_WAIT * self.wait_unit_ms
+            )
             self._latency(far, waited, now)
         if far.trial == event.call:
             far.trial = None
@@ -599,7 +605,7 @@
         died = broken and sent is not None and far.last_answer < sent
         if died or far.died and event.ending is Ending.TIMED_OUT:
             if direct or event.ending is not Ending.CUT:
-                far.failed(now, self.step_ms)
+                far.failed(now, self.wait_unit_ms)
         elif event.ending is Ending.TURNED_BACK and not late or event.ending is Ending.ERROR:
             far.answered(now)  # the end of a standing call is no sign of life, nor a full processor's refusal
 
@@ -611,7 +617,7 @@
             self._got_nowhere(call)
             return
         if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
-            call.not_before = now + self.set.release_ms
+            call.not_before = now + self.settings.release_ms
         if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED, Ending.ERROR):
             call.may_have_run = True
         if far is not None and far.number != call.number:
@@ -619,7 +625,9 @@
         elif event.reason is Reason.NO_CIRCUIT and event.ending is not Ending.NOT_SENT:
             call.tried.append(event.exchange)
         if event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.NOT_SENT:
-            self.own_down_until = now + 2 * self.step_ms  # the own processor is down: all calls wait for it
+            self.own_down_until = (
+                now + 2 * self.wait_unit_ms
+            )  # the own processor is down: all calls wait for it
         hopeless = event.ending is not Ending.NOT_SENT and event.reason in (
             Reason.LINES_BUSY,
             Reason.PROCESSOR_FULL,
@@ -633,18 +641,18 @@
     def _failed_over(self, far: FarEnd, call: Call, now: float) -> None:
         """A tandem that did not set a call up is left alone towards that destination, ever longer."""
         call.tried.append(far.exchange)
-        self.yields -= self.yields * TANDEM_SUCCESS_SMOOTHING
-        last = far.no_way.get(call.number, (0.0, self.hold_ms * TANDEM_BACKOFF[0] / 2))[1]
-        pause = min(2 * last, self.hold_ms * TANDEM_BACKOFF[1])
+        self.tandem_success -= self.tandem_success * TANDEM_SUCCESS_SMOOTHING
+        last = far.no_way.get(call.number, (0.0, self.mean_hold_ms * TANDEM_BACKOFF[0] / 2))[1]
+        pause = min(2 * last, self.mean_hold_ms * TANDEM_BACKOFF[1])
         far.no_way[call.number] = (now + pause, pause)
         far.ways.pop(call.number, None)
 
     def _report(self, event: Report, now: float) -> None:
-        far = self.far.get(event.exchange)
+        far = self.exchanges.get(event.exchange)
         if far is None:
             return
         if event.asked:  # a probe waits in the same line: its time, or its failing, tells of the processor
-            self._heed(far, event.latency_ms if event.well else FAILED_PROBE_WAIT * self.step_ms, now)
+            self._heed(far, event.latency_ms if event.well else FAILED_PROBE_WAIT * self.wait_unit_ms, now)
         if event.well:
             self._figures(far, event.figures, now)
             if not event.asked:
@@ -659,13 +667,13 @@
             self._decide(call, now)
 
     def _tick(self, now: float) -> None:
-        if self.ask_list_at is not None and now > self.ask_list_at:
+        if self.list_request_at is not None and now > self.list_request_at:
             self._ask_list()
-        if self.set.may_probe and self.set.reports is not Reports.NONE:
-            pull = self.set.reports is Reports.WHEN_PROBED
-            for far in self.far.values():
-                own = far.number == self.set.here  # which no other probes
-                every = PROBE_INTERVAL_MS if own else self.probe_ms
+        if self.settings.may_probe and self.settings.reports is not Reports.NONE:
+            pull = self.settings.reports is Reports.WHEN_PROBED
+            for far in self.exchanges.values():
+                own = far.number == self.settings.here  # which no other probes
+                every = PROBE_INTERVAL_MS if own else self.probe_interval_ms
                 used = own or pull and now - far.sent_at < 2 * every
                 if far.health is Health.READY and used and now - far.probed_at >= every:
                     far.probed_at = now
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -156,7 +156,7 @@
     stage = Stage()
     stage.give(Offer("a", "sip:a@net", "voice", 99, now_ms() + 4000, b"body", stage.caller))
     assert stage.caller.told == [Why.FAILED]
-    assert not stage.broker.switch.rates and not stage.broker.open
+    assert not stage.broker.switch.offered_rates and not stage.broker.open
 
 
 def test_a_later_start_of_its_process_ends_what_stood_at_a_hub() -> None:
@@ -185,7 +185,7 @@
     stage = Stage()
     stage.hubs.mute = mute
     stage.offer()
-    far = stage.broker.switch.far[HUB]
+    far = stage.broker.switch.exchanges[HUB]
     wide = far.window
     stage.broker._attempt_due(stage.hubs.sent[0])
     assert (far.window < wide) is not mute
@@ -198,7 +198,7 @@
         name = f"s-{number}".encode()
         for health in (Health.READY, Health.GONE):
             stage.give(News(ExchangeList(ListKind.CHANGES, (Listed(name, 1, health, 0.0),))))
-    assert len(stage.broker.guard.hubs) < 50 and len(stage.broker.switch.far) < 50
+    assert len(stage.broker.guard.hubs) < 50 and len(stage.broker.switch.exchanges) < 50
 
 
 def test_an_exception_in_the_module_leaves_no_caller_unanswered(capsys: pytest.CaptureFixture[str]) -> None:
