--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -91,70 +91,71 @@
 ANSWER_MARGIN_MS = 60.0  # an answer is given so long before the caller's time is up
 
 
-class FarEnd:
+class RemoteExchange:
     """One exchange as seen from here: its place in the list, its circuits, its shares and its silence."""
 
     def __init__(self, entry: Listed) -> None:
         self.exchange = entry.exchange
         self.number = entry.number
         self.health = entry.health
-        self.came_up = 0.0
-        self.free, self.size = -1, 0.0
-        self.told_share, self.told_at = 0.0, float("-inf")
+        self.started_at = 0.0
+        self.free_circuits, self.group_size = -1, 0.0
+        self.reported_share, self.share_reported_at = 0.0, float("-inf")
         self.latency, self.latency_at = 0.0, float("-inf")
-        self.waiting: dict[int, float] = {}
-        self.last_answer = float("-inf")
-        self.trial: int | None = None
-        self.failures, self.next_trial, self.died = 0, float("-inf"), False
-        self.next_paced = float("-inf")
+        self.pending: dict[int, float] = {}
+        self.last_answer_at = float("-inf")
+        self.recovery_probe: int | None = None
+        self.failures, self.recovery_probe_at, self.failed = 0, float("-inf"), False
+        self.next_paced_at = float("-inf")
         self.probed_at = float("-inf")
-        self.stepped, self.stepped_at = 0.0, float("-inf")
-        self.window, self.cut_at, self.open_at = INITIAL_WINDOW, float("-inf"), float("-inf")
-        self.no_way: dict[int, tuple[float, float]] = {}
-        self.ways: dict[int, float] = {}
-        self.legs: dict[int, int] = {}  # its own free circuits, as it told them
-        self.legs_at = self.asked_at = float("-inf")
-        self.unheard = 0
-        self.sent_at, self.sent_width = float("-inf"), 0
-
-    def room(self, width: int) -> bool:
-        return self.free < 0 or self.free >= width
-
-    def pace_by(self, wait_steps: float, latency_ms: float, now: float) -> None:
+        self.adapted_share, self.adapted_at = 0.0, float("-inf")
+        self.window, self.halved_at, self.window_opens_at = INITIAL_WINDOW, float("-inf"), float("-inf")
+        self.tandem_backoff: dict[int, tuple[float, float]] = {}
+        self.second_leg_open_at: dict[int, float] = {}
+        self.reported_legs: dict[int, int] = {}  # its own free circuits, as it told them
+        self.legs_reported_at = self.legs_queried_at = float("-inf")
+        self.unanswered_queries = 0
+        self.last_sent_at, self.last_sent_width = float("-inf"), 0
+
+    def has_room(self, width: int) -> bool:
+        return self.free_circuits < 0 or self.free_circuits >= width
+
+    def update_window(self, wait_steps: float, latency_ms: float, now: float) -> None:
         """The window of unanswered set-ups: quick answers widen it, slow ones halve it once per latency."""
         if wait_steps < 1:
             self.window = min(self.window + 1 / max(self.window, 1), MAX_WINDOW)
-        elif wait_steps > 2 and now - self.cut_at > latency_ms:
-            self.window, self.cut_at = max(self.window / 2, MIN_WINDOW), now
-        self.open_at = now + latency_ms * max(1 / self.window - 1, 0.0)
+        elif wait_steps > 2 and now - self.halved_at > latency_ms:
+            self.window, self.halved_at = max(self.window / 2, MIN_WINDOW), now
+        self.window_opens_at = now + latency_ms * max(1 / self.window - 1, 0.0)
 
-    def open(self, now: float) -> bool:
-        return len(self.waiting) < max(self.window, 1.0) and now >= self.open_at
+    def window_open(self, now: float) -> bool:
+        return len(self.pending) < max(self.window, 1.0) and now >= self.window_opens_at
 
-    def heed(self, targets: float, now: float) -> None:
+    def adapt_share(self, wait_in_targets: float, now: float) -> None:
         """Steps the mapped share by a wait, in targets; weighed by time: repeats of one report count once."""
-        spell = min(now - self.stepped_at, 1000.0) / 1000
-        self.stepped += SHARE_STEP_PER_S * spell * min(targets - 1, MAX_WAIT_EXCESS)
-        self.stepped, self.stepped_at = min(max(self.stepped, 0.0), 1.0), now
+        elapsed_s = min(now - self.adapted_at, 1000.0) / 1000
+        self.adapted_share += SHARE_STEP_PER_S * elapsed_s * min(wait_in_targets - 1, MAX_WAIT_EXCESS)
+        self.adapted_share, self.adapted_at = min(max(self.adapted_share, 0.0), 1.0), now
 
-    def mapped(self, now: float) -> float:
+    def current_adapted_share(self, now: float) -> float:
         """The mapped share; it falls gradually when nothing more is heard, so that no burst follows."""
         return (
-            self.stepped - SHARE_STEP_PER_S * max(now - self.stepped_at - SHARE_LIFETIME_MS / 2, 0.0) / 1000
+            self.adapted_share
+            - SHARE_STEP_PER_S * max(now - self.adapted_at - SHARE_LIFETIME_MS / 2, 0.0) / 1000
         )
 
-    def answered(self, now: float) -> None:
-        self.trial = None
-        if self.died and now - self.last_answer > MIN_RESTART_MS:
+    def mark_answered(self, now: float) -> None:
+        self.recovery_probe = None
+        if self.failed and now - self.last_answer_at > MIN_RESTART_MS:
             # whatever comes back from the dead starts cold, even if no list has told so yet
-            self.came_up = max(self.came_up, now)
-        self.last_answer = now
-        self.failures, self.died = 0, False
+            self.started_at = max(self.started_at, now)
+        self.last_answer_at = now
+        self.failures, self.failed = 0, False
 
-    def failed(self, now: float, pause_ms: float) -> None:
+    def mark_failed(self, now: float, pause_ms: float) -> None:
         """A set-up was cut or found no connection, or a trial got no answer: the processor is gone."""
-        self.failures, self.died = self.failures + 1, True
-        self.next_trial = now + pause_ms * min(2 ** (self.failures - 1), MAX_RECOVERY_BACKOFF)
+        self.failures, self.failed = self.failures + 1, True
+        self.recovery_probe_at = now + pause_ms * min(2 ** (self.failures - 1), MAX_RECOVERY_BACKOFF)
 
 
 class Call:
@@ -191,8 +192,8 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.exchanges: dict[bytes, FarEnd] = {}
-        self.ready_by_number: dict[int, FarEnd] = {}
+        self.exchanges: dict[bytes, RemoteExchange] = {}
+        self.ready_by_number: dict[int, RemoteExchange] = {}
         self.peer_by_number: dict[int, int] = {}
         self.calls: dict[int, Call] = {}
         self.actions: list[Action] = []
@@ -260,64 +261,72 @@
             self.list_request_at = now + self.list_retry_ms
             return
         for entry in event.entries:
-            far = self.exchanges.get(entry.exchange)
-            if far is None:
-                far = self.exchanges[entry.exchange] = FarEnd(entry)
-            far.number, far.health = entry.number, entry.health
-            if entry.came_up_ms > far.came_up:
-                far.came_up = entry.came_up_ms
-                if self._cold(far, now):  # all hear of it at once: their first set-ups are spread at random
-                    far.next_paced = (
+            remote = self.exchanges.get(entry.exchange)
+            if remote is None:
+                remote = self.exchanges[entry.exchange] = RemoteExchange(entry)
+            remote.number, remote.health = entry.number, entry.health
+            if entry.came_up_ms > remote.started_at:
+                remote.started_at = entry.came_up_ms
+                if self._cold(
+                    remote, now
+                ):  # all hear of it at once: their first set-ups are spread at random
+                    remote.next_paced_at = (
                         now + self.random.random() * COLD_START_SPREAD * self.settings.classes[0].aim_ms
                     )
         if event.kind is not ListKind.CHANGES:
             named = {entry.exchange for entry in event.entries}
-            for exchange, far in self.exchanges.items():
+            for exchange, remote in self.exchanges.items():
                 if exchange not in named:
-                    far.health = Health.GONE
-        gone = [far for far in self.exchanges.values() if far.health is Health.GONE and not far.waiting]
-        for far in gone[:-MAX_GONE_EXCHANGES]:  # those that were met first
-            del self.exchanges[far.exchange]
+                    remote.health = Health.GONE
+        gone = [
+            remote
+            for remote in self.exchanges.values()
+            if remote.health is Health.GONE and not remote.pending
+        ]
+        for remote in gone[:-MAX_GONE_EXCHANGES]:  # those that were met first
+            del self.exchanges[remote.exchange]
         self._index()
         self._retry_held(now)
 
     def _index(self) -> None:
         """Which exchange now has a number: the ready one that came up last."""
         self.ready_by_number = {}
-        for far in self.exchanges.values():
-            best = self.ready_by_number.get(far.number)
-            if far.health is Health.READY and (best is None or far.came_up >= best.came_up):
-                self.ready_by_number[far.number] = far
+        for remote in self.exchanges.values():
+            best = self.ready_by_number.get(remote.number)
+            if remote.health is Health.READY and (best is None or remote.started_at >= best.started_at):
+                self.ready_by_number[remote.number] = remote
 
     # --- shares ---
 
-    def _figures(self, far: FarEnd, figures: tuple[float, ...], now: float) -> None:
+    def _figures(self, remote: RemoteExchange, figures: tuple[float, ...], now: float) -> None:
         told = dict(zip(self.settings.figures, figures, strict=False))
         if told.get(Figure.FREE_CIRCUITS, -1) >= 0:
-            taken = far.sent_width if far.sent_at == now else 0  # sent since this figure was true
-            far.free = max(int(told[Figure.FREE_CIRCUITS]) - taken, 0)
-            far.size = told.get(Figure.GROUP_SIZE, far.size)
+            taken = (
+                remote.last_sent_width if remote.last_sent_at == now else 0
+            )  # sent since this figure was true
+            remote.free_circuits = max(int(told[Figure.FREE_CIRCUITS]) - taken, 0)
+            remote.group_size = told.get(Figure.GROUP_SIZE, remote.group_size)
         share = -1.0
         if told.get(Figure.HOLD_BACK, -1) >= 0:
             share = told[Figure.HOLD_BACK]
         wait = max(told.get(Figure.WAIT_MS, -1.0), told.get(Figure.QUEUE, -1.0) * self.wait_unit_ms / 10)
         if wait >= 0:
             share = max(share, self._share_of_wait(wait))
-            self._heed(far, wait, now)
+            self._heed(remote, wait, now)
         if share >= 0:
-            far.told_share, far.told_at = min(share, 1.0), now
+            remote.reported_share, remote.share_reported_at = min(share, 1.0), now
 
-    def _heed(self, far: FarEnd, wait_ms: float, now: float) -> None:
-        far.heed(wait_ms / (TARGET_WAIT * self.wait_unit_ms), now)
+    def _heed(self, remote: RemoteExchange, wait_ms: float, now: float) -> None:
+        remote.adapt_share(wait_ms / (TARGET_WAIT * self.wait_unit_ms), now)
 
     def _share_of_wait(self, wait_ms: float) -> float:
         low, high = SHED_START_WAIT * self.wait_unit_ms, SHED_FULL_WAIT * self.wait_unit_ms
         return min(max((wait_ms - low) / (high - low), 0.0), 1.0)
 
-    def _share(self, far: FarEnd, now: float) -> float:
+    def _share(self, remote: RemoteExchange, now: float) -> float:
         """The hold-back share that counts for this exchange now."""
-        share = far.told_share if now - far.told_at < SHARE_LIFETIME_MS else 0.0
-        return min(max(share, far.mapped(now)), 1 - MIN_ADMITTED_SHARE)
+        share = remote.reported_share if now - remote.share_reported_at < SHARE_LIFETIME_MS else 0.0
+        return min(max(share, remote.current_adapted_share(now)), 1 - MIN_ADMITTED_SHARE)
 
     def _own_share(self, now: float) -> float:
         """The own processor is on every path: its probed share, or else what latencies have in common."""
@@ -385,103 +394,117 @@
         """Sends the call if a route is open to it, holds it while one may open in time, else answers it."""
         if now < call.not_before and call.not_before < call.aim_at:
             return
-        far = None
+        remote = None
         if now >= call.not_before and call.attempts < self.settings.max_attempts and now < call.end_at:
-            far = self._route(call, now)
-        if far is not None:
-            self._send(call, far, now)
+            remote = self._route(call, now)
+        if remote is not None:
+            self._send(call, remote, now)
         elif call.transit or now >= call.aim_at or call.attempts >= self.settings.max_attempts:
             self._turn_away(call)
 
-    def _route(self, call: Call, now: float) -> FarEnd | None:
-        far = self.ready_by_number.get(call.number)
+    def _route(self, call: Call, now: float) -> RemoteExchange | None:
+        remote = self.ready_by_number.get(call.number)
         if call.number == self.settings.here:
             # handed over while the caller's own exchange starts: no group leads home, a tandem's two legs do
             blocked = call.transit or now < self.own_down_until
             return None if blocked else self._alternate(call, None, now)
         if call.transit:
-            if far is None or call.attempts or not far.room(call.width) or self._barred(far, now):
+            if (
+                remote is None
+                or call.attempts
+                or not remote.has_room(call.width)
+                or self._barred(remote, now)
+            ):
                 return None
-            return far
+            return remote
         if now < self.own_down_until:
             return None
-        if far is None or call.roll < max(self._share(far, now), self._own_share(now)):
-            return None if self.settings.mesh else self._alternate(call, far, now)
+        if remote is None or call.roll < max(self._share(remote, now), self._own_share(now)):
+            return None if self.settings.mesh else self._alternate(call, remote, now)
         if (
             now > call.came_at
-            and call.aim_at - now < far.latency
-            and now - far.latency_at < SHARE_LIFETIME_MS
+            and call.aim_at - now < remote.latency
+            and now - remote.latency_at < SHARE_LIFETIME_MS
         ):
             return None  # held too long to stand in time: its set-up would be work for nothing
-        if not self._barred(far, now) and far.open(now):
-            able = self.settings.mesh or far.number in (self._kind(call.kind).pools or (far.number,))
-            if able and far.room(call.width) and far.exchange not in call.tried:
-                return far
+        if not self._barred(remote, now) and remote.window_open(now):
+            able = self.settings.mesh or remote.number in (self._kind(call.kind).pools or (remote.number,))
+            if able and remote.has_room(call.width) and remote.exchange not in call.tried:
+                return remote
         elif self.settings.mesh:
             return None  # the destination itself can't take it, whichever the route
-        if self.settings.mesh and self._asks(far, now):
+        if self.settings.mesh and self._asks(remote, now):
             return None
-        return self._alternate(call, far, now)
+        return self._alternate(call, remote, now)
 
-    def _alternate(self, call: Call, to: FarEnd | None, now: float) -> FarEnd | None:
+    def _alternate(self, call: Call, to: RemoteExchange | None, now: float) -> RemoteExchange | None:
         """The tandem with the freest first leg, or the freest pool of second choice.
 
         A tandem whose second leg is known to be open (a centre named it, or a call stood over it lately) goes
         before one that is not known. Calls that have a group of their own leave room for direct ones.
         """
         able = self._kind(call.kind).pools
-        displaces = self.settings.mesh and to is not None and to.size > 0
-        legs = to.legs if to is not None and now - to.legs_at < LEG_REPORT_LIFETIME_MS else None
+        displaces = self.settings.mesh and to is not None and to.group_size > 0
+        reported_legs = (
+            to.reported_legs
+            if to is not None and now - to.legs_reported_at < LEG_REPORT_LIFETIME_MS
+            else None
+        )
         if self.settings.mesh and call.roll < 1 - TANDEM_ADMISSION_FACTOR * self.tandem_success:
             return None
         best, best_key = None, (-1, -1.0)
-        for far in self.exchanges.values():
-            room = call.width + (TRUNK_RESERVATION * far.size if displaces else 0)
-            known = now - far.ways.get(call.number, float("-inf")) < self.mean_hold_ms * SECOND_LEG_LIFETIME
-            if far.number == call.advised or to is not None and far.number in to.legs:
+        for remote in self.exchanges.values():
+            room = call.width + (TRUNK_RESERVATION * remote.group_size if displaces else 0)
+            known = (
+                now - remote.second_leg_open_at.get(call.number, float("-inf"))
+                < self.mean_hold_ms * SECOND_LEG_LIFETIME
+            )
+            if remote.number == call.advised or to is not None and remote.number in to.reported_legs:
                 known = True
-            key = (int(known), float(far.free))
+            key = (int(known), float(remote.free_circuits))
             if (
                 key > best_key
-                and far.free >= room
-                and far.health is Health.READY
-                and far.number not in (call.number, self.settings.here)
-                and (self.settings.mesh or not able or far.number in able)
-                and far.exchange not in call.tried
-                and (legs is None or legs.get(far.number, 0) >= call.width)
-                and now >= far.no_way.get(call.number, (now, 0.0))[0]
-                and call.roll >= self._share(far, now)
-                and far.open(now)
-                and not self._cold(far, now)
-                and not self._barred(far, now)
+                and remote.free_circuits >= room
+                and remote.health is Health.READY
+                and remote.number not in (call.number, self.settings.here)
+                and (self.settings.mesh or not able or remote.number in able)
+                and remote.exchange not in call.tried
+                and (reported_legs is None or reported_legs.get(remote.number, 0) >= call.width)
+                and now >= remote.tandem_backoff.get(call.number, (now, 0.0))[0]
+                and call.roll >= self._share(remote, now)
+                and remote.window_open(now)
+                and not self._cold(remote, now)
+                and not self._barred(remote, now)
             ):
-                best, best_key = far, key
+                best, best_key = remote, key
         return best
 
-    def _barred(self, far: FarEnd, now: float) -> bool:
-        return self._shut(far, now) or not self._paced(far, now)
+    def _barred(self, remote: RemoteExchange, now: float) -> bool:
+        return self._shut(remote, now) or not self._paced(remote, now)
 
-    def _shut(self, far: FarEnd, now: float) -> bool:
+    def _shut(self, remote: RemoteExchange, now: float) -> bool:
         """A dead exchange (cuts, refused connections) gets one trial at a time, ever rarer, until it answers.
 
         Guards against bursts of failures that come back at once, which neither a share nor the window sees.
         """
-        return far.died and (now < far.next_trial or far.trial in self.calls)
+        return remote.failed and (now < remote.recovery_probe_at or remote.recovery_probe in self.calls)
 
-    def _send(self, call: Call, far: FarEnd, now: float) -> None:
+    def _send(self, call: Call, remote: RemoteExchange, now: float) -> None:
         call.attempts += 1
-        call.out = far.exchange
-        far.waiting[call.id] = now
-        if far.died:
-            far.trial = call.id
-        pace = self._pace(far, now)
+        call.out = remote.exchange
+        remote.pending[call.id] = now
+        if remote.failed:
+            remote.recovery_probe = call.id
+        pace = self._pace(remote, now)
         if pace:
-            far.next_paced = now + 1000.0 / pace
-        far.sent_width = call.width + (far.sent_width if far.sent_at == now else 0)
-        far.sent_at = now
-        far.free = max(far.free - call.width, 0) if far.free >= 0 else far.free
+            remote.next_paced_at = now + 1000.0 / pace
+        remote.last_sent_width = call.width + (remote.last_sent_width if remote.last_sent_at == now else 0)
+        remote.last_sent_at = now
+        remote.free_circuits = (
+            max(remote.free_circuits - call.width, 0) if remote.free_circuits >= 0 else remote.free_circuits
+        )
         wait = min(max(call.aim_at - now, self.wait_unit_ms), call.end_at - now)
-        self.actions.append(SetUp(call.id, far.exchange, wait))
+        self.actions.append(SetUp(call.id, remote.exchange, wait))
 
     def _turn_away(self, call: Call) -> None:
         del self.calls[call.id]
@@ -495,18 +518,18 @@
 
     # --- messages: which second legs have room, asked of the destination, which knows its own groups ---
 
-    def _asks(self, to: FarEnd, now: float) -> bool:
+    def _asks(self, to: RemoteExchange, now: float) -> bool:
         """Asks the destination of a blocked call for its free circuits; true while the call should wait.
 
         Nothing depends on it: where the last questions stayed without answer, no call waits for the next.
         """
-        if not self.settings.may_message or now - to.legs_at < LEG_REPORT_LIFETIME_MS:
+        if not self.settings.may_message or now - to.legs_reported_at < LEG_REPORT_LIFETIME_MS:
             return False
-        if now - to.asked_at >= LEG_REPORT_LIFETIME_MS:
-            to.asked_at, to.unheard = now, to.unheard + 1
+        if now - to.legs_queried_at >= LEG_REPORT_LIFETIME_MS:
+            to.legs_queried_at, to.unanswered_queries = now, to.unanswered_queries + 1
             slot = self.peer_by_number.get(to.number, to.number)
             self.actions.append(Tell(slot, struct.pack(">cH", b"?", to.number)))
-        return to.unheard <= 2 and now - to.asked_at < LEG_QUERY_TIMEOUT_MS
+        return to.unanswered_queries <= 2 and now - to.legs_queried_at < LEG_QUERY_TIMEOUT_MS
 
     def _message(self, sender: int, payload: bytes, now: float) -> None:
         """A question for, or an answer with, free circuits; anything else is ignored, as is a stranger's."""
@@ -515,61 +538,65 @@
         kind, number = struct.unpack_from(">cH", payload)
         if kind == b"?" and number == self.settings.here:
             ready = [
-                f for f in self.ready_by_number.values() if f.size > 0 and f.number != self.settings.here
+                f
+                for f in self.ready_by_number.values()
+                if f.group_size > 0 and f.number != self.settings.here
+            ]
+            ready.sort(key=lambda remote: -remote.free_circuits)
+            told = [
+                struct.pack(">HB", f.number, min(f.free_circuits, 255)) for f in ready[:MAX_REPORTED_LEGS]
             ]
-            ready.sort(key=lambda far: -far.free)
-            told = [struct.pack(">HB", f.number, min(f.free, 255)) for f in ready[:MAX_REPORTED_LEGS]]
             self.actions.append(Tell(sender, struct.pack(">cH", b"!", number) + b"".join(told)))
         elif kind == b"!" and len(payload) % 3 == 0 and number in self.ready_by_number:
-            far = self.ready_by_number[number]
-            far.legs = dict(struct.iter_unpack(">HB", payload[3:]))
-            far.legs_at, far.unheard = now, 0
+            remote = self.ready_by_number[number]
+            remote.reported_legs = dict(struct.iter_unpack(">HB", payload[3:]))
+            remote.legs_reported_at, remote.unanswered_queries = now, 0
             self.peer_by_number[number] = sender
             self._retry_held(now, number)
 
     # --- cold processors ---
 
-    def _cold(self, far: FarEnd, now: float) -> bool:
-        return far.came_up > 0 and now - far.came_up < self.settings.cold_ms
+    def _cold(self, remote: RemoteExchange, now: float) -> bool:
+        return remote.started_at > 0 and now - remote.started_at < self.settings.cold_ms
 
-    def _pace(self, far: FarEnd, now: float) -> float:
+    def _pace(self, remote: RemoteExchange, now: float) -> float:
         """Set-ups a second that may go to a cold processor from here; 0 when it is warm."""
-        if not self._cold(far, now):
+        if not self._cold(remote, now):
             return 0.0
-        warm = max(now - far.came_up, 0.0) / self.settings.cold_ms
+        warm = max(now - remote.started_at, 0.0) / self.settings.cold_ms
         ramp = self.settings.cold_from + (1 - self.settings.cold_from) * warm
-        rate, _ = self.offered_rates.get(far.number, (0.0, now))
+        rate, _ = self.offered_rates.get(remote.number, (0.0, now))
         least = MIN_COLD_RATE_PER_S / max(self.settings.softswitches, 1)
         return max(rate, least) * ramp * max(self.settings.fall_multiple * COLD_PACE_SAFETY, 0.5)
 
-    def _paced(self, far: FarEnd, now: float) -> bool:
-        return now >= far.next_paced or not self._cold(far, now)
+    def _paced(self, remote: RemoteExchange, now: float) -> bool:
+        return now >= remote.next_paced_at or not self._cold(remote, now)
 
     # --- what comes back ---
 
     def _stands(self, event: CallStands, now: float) -> None:
         call = self.calls.pop(event.call, None)
-        far = self.exchanges.get(event.exchange)
-        if far is None:
+        remote = self.exchanges.get(event.exchange)
+        if remote is None:
             return
-        far.waiting.pop(event.call, None)
-        far.answered(now)
-        self._retry_held(now, far.number)
-        if call is not None and call.number != far.number and self.settings.mesh:
-            far.no_way.pop(call.number, None)
-            far.ways[call.number] = now
+        remote.pending.pop(event.call, None)
+        remote.mark_answered(now)
+        self._retry_held(now, remote.number)
+        if call is not None and call.number != remote.number and self.settings.mesh:
+            remote.tandem_backoff.pop(call.number, None)
+            remote.second_leg_open_at[call.number] = now
             self.tandem_success += (1 - self.tandem_success) * TANDEM_SUCCESS_SMOOTHING
             return  # over a tandem: the wait of two processors, which says little of either
         self.base_latency = min(self.base_latency, event.latency_ms)
-        self._latency(far, event.latency_ms, now)
+        self._latency(remote, event.latency_ms, now)
 
-    def _latency(self, far: FarEnd, latency_ms: float, now: float) -> None:
+    def _latency(self, remote: RemoteExchange, latency_ms: float, now: float) -> None:
         if now == self.resumed_at:  # what came while this softswitch stood still tells of itself alone
             return
-        fresh = now - far.latency_at < SHARE_LIFETIME_MS
-        far.latency += (latency_ms - far.latency) * (LATENCY_SMOOTHING if fresh else 1.0)
-        far.latency_at = now
-        far.pace_by((latency_ms - self.base_latency) / self.wait_unit_ms, latency_ms, now)
+        fresh = now - remote.latency_at < SHARE_LIFETIME_MS
+        remote.latency += (latency_ms - remote.latency) * (LATENCY_SMOOTHING if fresh else 1.0)
+        remote.latency_at = now
+        remote.update_window((latency_ms - self.base_latency) / self.wait_unit_ms, latency_ms, now)
         own = self.ready_by_number.get(self.settings.here)
         if own is not None:
             self._heed(own, self._common_wait(now) / 2, now)
@@ -580,36 +607,38 @@
         return min(seen) - self.base_latency if len(seen) > 1 else 0.0
 
     def _ended(self, event: AttemptEnded, now: float) -> None:
-        far = self.exchanges.get(event.exchange)
+        remote = self.exchanges.get(event.exchange)
         call = self.calls.get(event.call)
-        if far is not None:
-            self._learn(far, call, event, now)
+        if remote is not None:
+            self._learn(remote, call, event, now)
         if call is not None:
-            self._go_on(far, call, event, now)
+            self._go_on(remote, call, event, now)
 
-    def _learn(self, far: FarEnd, call: Call | None, event: AttemptEnded, now: float) -> None:
+    def _learn(self, remote: RemoteExchange, call: Call | None, event: AttemptEnded, now: float) -> None:
         """What the end of an attempt tells of the exchange that it went to."""
-        self._figures(far, event.report, now)
-        sent = far.waiting.pop(event.call, None)
-        direct = call is None or call.number == far.number
+        self._figures(remote, event.report, now)
+        sent = remote.pending.pop(event.call, None)
+        direct = call is None or call.number == remote.number
         full = event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.TURNED_BACK
         late = full or event.ending is Ending.TIMED_OUT
         if late and direct:  # it would have waited at least so long
             waited = max(
-                event.latency_ms, far.latency, self.base_latency + SHED_FULL_WAIT * self.wait_unit_ms
+                event.latency_ms, remote.latency, self.base_latency + SHED_FULL_WAIT * self.wait_unit_ms
             )
-            self._latency(far, waited, now)
-        if far.trial == event.call:
-            far.trial = None
+            self._latency(remote, waited, now)
+        if remote.recovery_probe == event.call:
+            remote.recovery_probe = None
         broken = event.ending in (Ending.UNREACHABLE, Ending.CUT)
-        died = broken and sent is not None and far.last_answer < sent
-        if died or far.died and event.ending is Ending.TIMED_OUT:
+        failed = broken and sent is not None and remote.last_answer_at < sent
+        if failed or remote.failed and event.ending is Ending.TIMED_OUT:
             if direct or event.ending is not Ending.CUT:
-                far.failed(now, self.wait_unit_ms)
+                remote.mark_failed(now, self.wait_unit_ms)
         elif event.ending is Ending.TURNED_BACK and not late or event.ending is Ending.ERROR:
-            far.answered(now)  # the end of a standing call is no sign of life, nor a full processor's refusal
+            remote.mark_answered(
+                now
+            )  # the end of a standing call is no sign of life, nor a full processor's refusal
 
-    def _go_on(self, far: FarEnd | None, call: Call, event: AttemptEnded, now: float) -> None:
+    def _go_on(self, remote: RemoteExchange | None, call: Call, event: AttemptEnded, now: float) -> None:
         """What becomes of the call: concluded, tried again after its release, or answered."""
         call.out = None
         if event.over:
@@ -620,8 +649,8 @@
             call.not_before = now + self.settings.release_ms
         if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED, Ending.ERROR):
             call.may_have_run = True
-        if far is not None and far.number != call.number:
-            self._failed_over(far, call, now)
+        if remote is not None and remote.number != call.number:
+            self._failed_over(remote, call, now)
         elif event.reason is Reason.NO_CIRCUIT and event.ending is not Ending.NOT_SENT:
             call.tried.append(event.exchange)
         if event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.NOT_SENT:
@@ -638,25 +667,25 @@
         else:
             self._decide(call, now)
 
-    def _failed_over(self, far: FarEnd, call: Call, now: float) -> None:
+    def _failed_over(self, remote: RemoteExchange, call: Call, now: float) -> None:
         """A tandem that did not set a call up is left alone towards that destination, ever longer."""
-        call.tried.append(far.exchange)
+        call.tried.append(remote.exchange)
         self.tandem_success -= self.tandem_success * TANDEM_SUCCESS_SMOOTHING
-        last = far.no_way.get(call.number, (0.0, self.mean_hold_ms * TANDEM_BACKOFF[0] / 2))[1]
+        last = remote.tandem_backoff.get(call.number, (0.0, self.mean_hold_ms * TANDEM_BACKOFF[0] / 2))[1]
         pause = min(2 * last, self.mean_hold_ms * TANDEM_BACKOFF[1])
-        far.no_way[call.number] = (now + pause, pause)
-        far.ways.pop(call.number, None)
+        remote.tandem_backoff[call.number] = (now + pause, pause)
+        remote.second_leg_open_at.pop(call.number, None)
 
     def _report(self, event: Report, now: float) -> None:
-        far = self.exchanges.get(event.exchange)
-        if far is None:
+        remote = self.exchanges.get(event.exchange)
+        if remote is None:
             return
         if event.asked:  # a probe waits in the same line: its time, or its failing, tells of the processor
-            self._heed(far, event.latency_ms if event.well else FAILED_PROBE_WAIT * self.wait_unit_ms, now)
+            self._heed(remote, event.latency_ms if event.well else FAILED_PROBE_WAIT * self.wait_unit_ms, now)
         if event.well:
-            self._figures(far, event.figures, now)
+            self._figures(remote, event.figures, now)
             if not event.asked:
-                self._retry_held(now, far.number)
+                self._retry_held(now, remote.number)
 
     # --- time passes ---
 
@@ -671,11 +700,11 @@
             self._ask_list()
         if self.settings.may_probe and self.settings.reports is not Reports.NONE:
             pull = self.settings.reports is Reports.WHEN_PROBED
-            for far in self.exchanges.values():
-                own = far.number == self.settings.here  # which no other probes
+            for remote in self.exchanges.values():
+                own = remote.number == self.settings.here  # which no other probes
                 every = PROBE_INTERVAL_MS if own else self.probe_interval_ms
-                used = own or pull and now - far.sent_at < 2 * every
-                if far.health is Health.READY and used and now - far.probed_at >= every:
-                    far.probed_at = now
-                    self.actions.append(Probe(far.exchange))
+                used = own or pull and now - remote.last_sent_at < 2 * every
+                if remote.health is Health.READY and used and now - remote.probed_at >= every:
+                    remote.probed_at = now
+                    self.actions.append(Probe(remote.exchange))
         self._retry_held(now)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -210,9 +210,9 @@
     stage.give(Woken(0), 10.0)
     second, _ = stage.call(1)
     stage.give(AttemptEnded(second, exchange(1), 0, Ending.CUT, False, 20.0), away)
-    assert stage.switch.exchanges[exchange(1)].died
+    assert stage.switch.exchanges[exchange(1)].failed
     stage.give(CallStands(second, exchange(1), 0, 40.0))
-    assert (stage.switch.exchanges[exchange(1)].came_up > 0) is paced
+    assert (stage.switch.exchanges[exchange(1)].started_at > 0) is paced
 
 
 def test_a_dead_exchange_gets_single_trials_and_comes_back_cold() -> None:
@@ -477,7 +477,7 @@
     stage = Stage(MESSAGING)
     assert stage.give(PeerMessage(1, payload)) == []
     assert stage.give(PeerMessage(60000, answer(1, (2, 9)))) == []
-    assert not stage.switch.exchanges[exchange(1)].legs
+    assert not stage.switch.exchanges[exchange(1)].reported_legs
     stage.give(PeerMessage(1, answer(1, (2, 9))))
     stage.give(PeerMessage(1, answer(1, (2, 9))))
     call, _ = stage.call(1)
@@ -514,7 +514,7 @@
         for n in (1, 2, 3, 4):
             if n != number:
                 stage.circuits(n, 90)
-                stage.switch.exchanges[exchange(n)].no_way.clear()
+                stage.switch.exchanges[exchange(n)].tandem_backoff.clear()
         call, _ = stage.call(number)
         at = stage.sent(call)
         if at and stands:
