--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -1,7 +1,10 @@
-"""Every decision of a softswitch. Events, actions and settings are defined in badgerstile/interface.py.
+"""All decisions of a softswitch: admission, routing, pacing and retries of calls.
 
-In the order of a call's life: offered, thinned by the hold-back shares on its path, routed (direct, else over
-the tandem whose first leg is freest), held while a route may still come free, tried again, and answered once.
+A call is offered, thinned by the hold-back shares of the exchanges on its path, routed (over the direct trunk
+group, else over the tandem with the most free circuits on its first leg), queued while a route may still
+become free, tried again after a failed attempt, and answered exactly once.
+
+Events, actions and settings are defined in badgerstile/interface.py. All times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -39,60 +42,43 @@
     Woken,
 )
 
-STALL_MS = 100.0  # a wake so much later than asked: this softswitch itself stood still
-BUDGET_TOLERANCE_MS = 50.0  # callers' times nearer than this are the same
-MAX_BUDGET_VOTES = 20  # callers of another time than usual that make theirs the usual_budget one
-TICK_MS = 100.0  # how often held calls and silent exchanges are looked at when nothing else happens
-SHARE_LIFETIME_MS = 5000.0  # a share not heard again for so long is forgotten (the design's default)
-PROBE_INTERVAL_MS = 1000.0  # where only probes tell, ask about once a second (the design's default)
-MAX_PROBERS = (
-    8  # senders that may probe one exchange so often; more of them ask more rarely, for its work's sake
-)
-TARGET_WAIT = 0.5  # wait, in retransmission times, at which a mapped share stays: answers wait as set-ups do
-SHARE_STEP_PER_S = 0.4  # by which a mapped share moves in a second, for each target of wait above or below
-MAX_WAIT_EXCESS = 4.0  # targets above: more does not step faster
-FAILED_PROBE_WAIT = 2.0  # a failed probe counts as a wait of so many retransmission times
-SHED_START_WAIT, SHED_FULL_WAIT = (
-    0.6,
-    2.4,
-)  # in retransmission times: a far wait from which thinning starts, and is full
-MIN_ADMITTED_SHARE = 0.05  # always left through, so that answers keep telling how the far end does
-LATENCY_SMOOTHING = 0.3  # weight of a new latency sample: about three answers decide
-INITIAL_WINDOW, MIN_WINDOW, MAX_WINDOW = 4.0, 0.25, 16.0  # unanswered set-ups towards one exchange
-WORTH_SMOOTHING = 0.02  # weight of a new call in the mix of worths offered: some fifty calls decide
-MAX_RECOVERY_BACKOFF = 4  # trials of a dead exchange come no rarer than this many times the shortest pause
-RATE_HALF_LIFE_MS, LN2_MS_PER_S = 15000.0, 693.1  # half-life of the rate at which calls for an exchange come
-COLD_PACE_SAFETY = 0.6  # part of the allowed multiple that is used towards a cold processor
-MIN_COLD_RATE_PER_S = (
-    4.0  # calls a second, from all softswitches together, on which a cold pace is based at least
-)
-COLD_START_SPREAD = 0.9  # of an aim, over which the first set-ups to a newly started exchange are spread
-TRUNK_RESERVATION = (
-    0.1  # of a first leg's circuits, which only direct calls and those without a group may take
-)
-TANDEM_ADMISSION_FACTOR, TANDEM_SUCCESS_SMOOTHING = (
-    1.5,
-    0.04,
-)  # two-leg calls are thinned when under two thirds of some 25 attempts stand
-SECOND_LEG_LIFETIME = (
-    0.5  # of a mean call: so long a second leg is held to be open after a call stood over it
-)
-TANDEM_BACKOFF = (
-    0.2,
-    1.6,
-)  # of a mean call, first and longest: a tandem that turned a call back is left alone
-LEG_REPORT_LIFETIME_MS = 3000.0  # what a far exchange told of its free circuits is used for so long
-LEG_QUERY_TIMEOUT_MS = (
-    100.0  # a blocked call waits so long for such an answer; messages take a fraction of it
-)
-MAX_REPORTED_LEGS = 60  # freest groups named in one answer: they fit the 256 bytes of a message
-MIN_RESTART_MS = 2000.0  # no processor starts again so fast: who answered since was only cut off from here
-MAX_GONE_EXCHANGES = 32  # exchanges that are gone and still known, in case they come back
-ANSWER_MARGIN_MS = 60.0  # an answer is given so long before the caller's time is up
+# A wait unit is Softswitch.wait_unit_ms: the time to a retransmission, at most a third of the shortest slo.
+STALL_MS = 100.0  # a timer that fires this late means that this softswitch itself was stalled
+BUDGET_TOLERANCE_MS = 50.0  # callers' time budgets that differ by less count as equal
+MAX_VOTES = 20  # calls with another budget that it takes at most to replace the usual budget
+TICK_MS = 100.0  # interval at which queued calls and probes are checked when no other event comes
+SHARE_LIFETIME_MS = 5000.0  # a reported share or a latency that is older is ignored
+PROBE_INTERVAL_MS = 1000.0  # where load values come with probes only
+MAX_PROBERS = 8  # more softswitches than this probe each exchange less often, to limit its probe load
+TARGET_WAIT = 0.5  # wait units at which the adapted share is steady: answers queue as set-ups do
+SHARE_STEP = 0.4  # change of the adapted share a second, per TARGET_WAIT above or below the target
+MAX_WAIT_EXCESS = 4.0  # in TARGET_WAITs: a longer wait does not raise the share faster
+FAILED_PROBE_WAIT = 2.0  # wait units that a failed probe counts as
+SHED_START_WAIT, SHED_FULL_WAIT = 0.6, 2.4  # wait units at which shedding starts and is full
+MIN_ADMITTED = 0.05  # always admitted, so that answers keep showing the state of the exchange
+LATENCY_SMOOTHING = 0.3  # weight of a new sample in the moving average: it spans about three answers
+INITIAL_WINDOW, MIN_WINDOW, MAX_WINDOW = 4.0, 0.25, 16.0  # pending set-ups to one exchange
+WORTH_SMOOTHING = 0.02  # weight of a new call in the distribution of worths: it spans some 50 calls
+MAX_RECOVERY_BACKOFF = 4  # longest pause between recovery probes, in multiples of the shortest
+RATE_HALF_LIFE_MS, LN2_MS_PER_S = 15000.0, 693.1  # half-life of the rate of calls offered per exchange
+COLD_PACE_SAFETY = 0.6  # fraction of the allowed rate multiple that is used towards a cold processor
+MIN_COLD_RATE_PER_S = 4.0  # least offered rate, of all softswitches together, that a cold pace assumes
+COLD_START_SPREAD = 0.9  # of an slo: the first set-ups to a newly started exchange are spread over it
+TRUNK_RESERVATION = 0.1  # of a first leg's circuits: for direct calls and calls without a group of their own
+# Two-leg calls are thinned when fewer than two thirds of about 25 attempts succeed.
+TANDEM_ADMISSION_FACTOR, TANDEM_SUCCESS_SMOOTHING = 1.5, 0.04
+OPEN_LEG_LIFETIME = 0.5  # of a mean holding time: how long a second leg that carried a call counts as open
+TANDEM_BACKOFF = (0.2, 1.6)  # shortest and longest, in mean holding times, after it rejected a call
+LEG_REPORT_LIFETIME_MS = 3000.0  # how long an exchange's report of its free circuits is used
+LEG_QUERY_TIMEOUT_MS = 100.0  # wait of a blocked call for such a report; messages take a fraction of it
+MAX_REPORTED_LEGS = 60  # groups in one report, so that it fits a message of 256 bytes
+MIN_RESTART_MS = 2000.0  # no restart is faster: an exchange that answered since was only unreachable
+MAX_GONE_EXCHANGES = 32  # removed exchanges that are remembered in case they return
+ANSWER_MARGIN_MS = 60.0  # an answer is given this long before the caller's budget ends
 
 
 class RemoteExchange:
-    """One exchange as seen from here: its place in the list, its circuits, its shares and its silence."""
+    """One exchange as seen from here, the own one too: list entry, circuits, hold-back shares, failures."""
 
     def __init__(self, entry: Listed) -> None:
         self.exchange = entry.exchange
@@ -111,17 +97,18 @@
         self.adapted_share, self.adapted_at = 0.0, float("-inf")
         self.window, self.halved_at, self.window_opens_at = INITIAL_WINDOW, float("-inf"), float("-inf")
         self.tandem_backoff: dict[int, tuple[float, float]] = {}
-        self.second_leg_open_at: dict[int, float] = {}
-        self.reported_legs: dict[int, int] = {}  # its own free circuits, as it told them
+        self.leg_open_at: dict[int, float] = {}
+        self.reported_legs: dict[int, int] = {}  # its own trunk groups: far number to free circuits
         self.legs_reported_at = self.legs_queried_at = float("-inf")
         self.unanswered_queries = 0
         self.last_sent_at, self.last_sent_width = float("-inf"), 0
 
     def has_room(self, width: int) -> bool:
+        """Whether the trunk group has that many free circuits, or does not report them."""
         return self.free_circuits < 0 or self.free_circuits >= width
 
     def update_window(self, wait_steps: float, latency_ms: float, now: float) -> None:
-        """The window of unanswered set-ups: quick answers widen it, slow ones halve it once per latency."""
+        """Quick answers widen the window of pending set-ups; slow ones halve it, at most once per latency."""
         if wait_steps < 1:
             self.window = min(self.window + 1 / max(self.window, 1), MAX_WINDOW)
         elif wait_steps > 2 and now - self.halved_at > latency_ms:
@@ -132,76 +119,81 @@
         return len(self.pending) < max(self.window, 1.0) and now >= self.window_opens_at
 
     def adapt_share(self, wait_in_targets: float, now: float) -> None:
-        """Steps the mapped share by a wait, in targets; weighed by time: repeats of one report count once."""
+        """Moves the adapted share by how far a wait is from the target.
+
+        The step is weighted by the time since the last one, so that a repeated report counts once.
+        """
         elapsed_s = min(now - self.adapted_at, 1000.0) / 1000
-        self.adapted_share += SHARE_STEP_PER_S * elapsed_s * min(wait_in_targets - 1, MAX_WAIT_EXCESS)
+        self.adapted_share += SHARE_STEP * elapsed_s * min(wait_in_targets - 1, MAX_WAIT_EXCESS)
         self.adapted_share, self.adapted_at = min(max(self.adapted_share, 0.0), 1.0), now
 
     def current_adapted_share(self, now: float) -> float:
-        """The mapped share; it falls gradually when nothing more is heard, so that no burst follows."""
+        """The adapted share; without reports it decays gradually, as a sudden drop would cause a burst."""
         return (
-            self.adapted_share
-            - SHARE_STEP_PER_S * max(now - self.adapted_at - SHARE_LIFETIME_MS / 2, 0.0) / 1000
+            self.adapted_share - SHARE_STEP * max(now - self.adapted_at - SHARE_LIFETIME_MS / 2, 0.0) / 1000
         )
 
     def mark_answered(self, now: float) -> None:
         self.recovery_probe = None
         if self.failed and now - self.last_answer_at > MIN_RESTART_MS:
-            # whatever comes back from the dead starts cold, even if no list has told so yet
+            # A failed exchange that answers again is treated as cold, even before a list reports its start.
             self.started_at = max(self.started_at, now)
         self.last_answer_at = now
         self.failures, self.failed = 0, False
 
     def mark_failed(self, now: float, pause_ms: float) -> None:
-        """A set-up was cut or found no connection, or a trial got no answer: the processor is gone."""
+        """Called when a set-up was cut or found no connection, or a recovery probe timed out; backs off."""
         self.failures, self.failed = self.failures + 1, True
         self.recovery_probe_at = now + pause_ms * min(2 ** (self.failures - 1), MAX_RECOVERY_BACKOFF)
 
 
 class Call:
-    """A call that is owed an answer."""
+    """A call that has not been answered yet."""
 
     __slots__ = (
-        "id", "number", "kind", "width", "transit", "roll", "came_at", "aim_at", "end_at", "not_before",
-        "attempts", "out", "tried", "may_have_run", "advised", "called", "first_at",
+        "id", "number", "class_index", "width", "transit", "worth_quantile", "queued_since", "slo_at",
+        "answer_by", "not_before", "attempts", "pending_exchange", "tried_exchanges", "may_have_run",
+        "advised", "called", "first_tried_at",
     )  # fmt: skip
 
-    def __init__(self, event: CallOffered, now: float, first_at: float, aim_ms: float, roll: float) -> None:
-        self.called, self.first_at = event.called, first_at
+    def __init__(
+        self, event: CallOffered, now: float, first_tried_at: float, aim_ms: float, worth_quantile: float
+    ) -> None:
+        self.called, self.first_tried_at = event.called, first_tried_at
         self.id = event.call
         self.number = event.destination
-        self.kind = event.call_class
+        self.class_index = event.call_class
         self.width = event.width
         self.transit = event.in_transit
         self.advised = -1 if event.in_transit else event.advised
-        self.roll = roll
-        self.end_at = now + event.budget_ms - ANSWER_MARGIN_MS
-        late = now - first_at > aim_ms
-        self.came_at = now if late else first_at
-        self.aim_at = min(self.came_at + aim_ms, self.end_at - TICK_MS)
+        self.worth_quantile = worth_quantile
+        self.answer_by = now + event.budget_ms - ANSWER_MARGIN_MS
+        late = now - first_tried_at > aim_ms
+        self.queued_since = now if late else first_tried_at
+        self.slo_at = min(self.queued_since + aim_ms, self.answer_by - TICK_MS)
         self.not_before = now
         self.attempts = 0
-        self.out: bytes | None = None
-        self.tried: list[bytes] = []
+        self.pending_exchange: bytes | None = None
+        self.tried_exchanges: list[bytes] = []
         self.may_have_run = False
 
 
 class Softswitch:
-    """The decisions of one softswitch, which knows nothing but its own settings and events."""
+    """The decision logic of one softswitch; it depends on its settings, its seed and its events only."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.exchanges: dict[bytes, RemoteExchange] = {}
-        self.ready_by_number: dict[int, RemoteExchange] = {}
+        self.by_number: dict[int, RemoteExchange] = {}
         self.peer_by_number: dict[int, int] = {}
         self.calls: dict[int, Call] = {}
         self.actions: list[Action] = []
         self.timer_set, self.timer_due_at = False, 0.0
-        self.resumed_at = float("-inf")  # the end of the last standstill of its own
+        self.resumed_at = float("-inf")  # end of the last stall of this softswitch
         self.stalled_ms = 0.0
-        self.tandem_success = 1.0  # part of the attempts over tandems that stand
-        self.usual_budget: dict[int, tuple[float, int]] = {}  # the time that first tries of a class come with
+        self.tandem_success = 1.0  # moving average: fraction of tandem attempts that succeed
+        self.usual_budget: dict[int, tuple[float, int]] = {}  # by class, of first tries; votes for it
         self.offered_rates: dict[int, tuple[float, float]] = {}
         self.started = False
         self.list_request_at: float | None = None
@@ -209,39 +201,40 @@
         aim_ms = min(c.aim_ms for c in settings.classes)
         self.base_latency = aim_ms
         self.wait_unit_ms = min(settings.retransmit_ms or aim_ms, aim_ms / 3)
-        self.worth_mix: dict[float, float] = {}  # parts of the worths in the calls offered of late
-        self.unserved: dict[int, float] = {}  # numbers whose call got nowhere, and when it was first made
+        self.worth_mix: dict[float, float] = {}  # worth to its fraction of recently offered calls
+        self.unserved: dict[int, float] = {}  # called number to the first try of its failed call
         self.own_down_until = float("-inf")
         self.mean_hold_ms = max((c.hold_ms for c in settings.classes), default=0.0) or 10 * aim_ms
         self.probe_interval_ms = PROBE_INTERVAL_MS * max(settings.softswitches / MAX_PROBERS, 1.0)
 
     def handle(self, event: Event, now: float) -> list[Action]:
+        """Processes one event and returns the actions that follow from it."""
         self.actions = []
         if self.timer_set and now - self.timer_due_at > STALL_MS:
             self.resumed_at, self.stalled_ms = now, now - self.timer_due_at
         if not self.started:
             self.started = True
-            self._ask_list()
+            self._request_list()
         match event:
             case ExchangeList():
-                self._list(event, now)
+                self._update_list(event, now)
             case CallOffered():
-                self._offered(event, now)
+                self._on_call_offered(event, now)
             case CallStands():
-                self._stands(event, now)
+                self._on_call_established(event, now)
             case AttemptEnded():
-                self._ended(event, now)
+                self._on_attempt_ended(event, now)
             case CallerLeft(name):
                 call = self.calls.pop(name, None)
                 if call is not None:
-                    self._got_nowhere(call)
+                    self._remember_unserved(call)
             case Report():
-                self._report(event, now)
+                self._on_report(event, now)
             case PeerMessage(sender, payload):
-                self._message(sender, payload, now)
+                self._on_peer_message(sender, payload, now)
             case Woken():
                 self.timer_set = False
-                self._tick(now)
+                self._on_tick(now)
             case _:
                 pass
         if not self.timer_set:
@@ -251,12 +244,12 @@
 
     # --- the list of exchanges ---
 
-    def _ask_list(self) -> None:
+    def _request_list(self) -> None:
         self.list_request_at = None
         if self.settings.list_on_request:
-            self.actions.append(FollowList())  # always answered, by a list or by a failure
+            self.actions.append(FollowList())  # always answered, with a list or a failure
 
-    def _list(self, event: ExchangeList, now: float) -> None:
+    def _update_list(self, event: ExchangeList, now: float) -> None:
         if event.kind is ListKind.FAILED:
             self.list_request_at = now + self.list_retry_ms
             return
@@ -267,9 +260,8 @@
             remote.number, remote.health = entry.number, entry.health
             if entry.came_up_ms > remote.started_at:
                 remote.started_at = entry.came_up_ms
-                if self._cold(
-                    remote, now
-                ):  # all hear of it at once: their first set-ups are spread at random
+                # All softswitches learn of it at once: their first set-ups are spread at random.
+                if self._is_cold(remote, now):
                     remote.next_paced_at = (
                         now + self.random.random() * COLD_START_SPREAD * self.settings.classes[0].aim_ms
                     )
@@ -283,71 +275,72 @@
             for remote in self.exchanges.values()
             if remote.health is Health.GONE and not remote.pending
         ]
-        for remote in gone[:-MAX_GONE_EXCHANGES]:  # those that were met first
+        for remote in gone[:-MAX_GONE_EXCHANGES]:  # the oldest entries
             del self.exchanges[remote.exchange]
-        self._index()
-        self._retry_held(now)
+        self._index_by_number()
+        self._retry_queued(now)
 
-    def _index(self) -> None:
-        """Which exchange now has a number: the ready one that came up last."""
-        self.ready_by_number = {}
+    def _index_by_number(self) -> None:
+        """Maps each number to its ready exchange; of several, to the one that started last."""
+        self.by_number = {}
         for remote in self.exchanges.values():
-            best = self.ready_by_number.get(remote.number)
+            best = self.by_number.get(remote.number)
             if remote.health is Health.READY and (best is None or remote.started_at >= best.started_at):
-                self.ready_by_number[remote.number] = remote
+                self.by_number[remote.number] = remote
 
     # --- shares ---
 
-    def _figures(self, remote: RemoteExchange, figures: tuple[float, ...], now: float) -> None:
-        told = dict(zip(self.settings.figures, figures, strict=False))
-        if told.get(Figure.FREE_CIRCUITS, -1) >= 0:
-            taken = (
-                remote.last_sent_width if remote.last_sent_at == now else 0
-            )  # sent since this figure was true
-            remote.free_circuits = max(int(told[Figure.FREE_CIRCUITS]) - taken, 0)
-            remote.group_size = told.get(Figure.GROUP_SIZE, remote.group_size)
+    def _update_load(self, remote: RemoteExchange, figures: tuple[float, ...], now: float) -> None:
+        load = dict(zip(self.settings.figures, figures, strict=False))
+        if load.get(Figure.FREE_CIRCUITS, -1) >= 0:
+            # Set-ups sent at this very time are not yet part of the reported value.
+            taken = remote.last_sent_width if remote.last_sent_at == now else 0
+            remote.free_circuits = max(int(load[Figure.FREE_CIRCUITS]) - taken, 0)
+            remote.group_size = load.get(Figure.GROUP_SIZE, remote.group_size)
         share = -1.0
-        if told.get(Figure.HOLD_BACK, -1) >= 0:
-            share = told[Figure.HOLD_BACK]
-        wait = max(told.get(Figure.WAIT_MS, -1.0), told.get(Figure.QUEUE, -1.0) * self.wait_unit_ms / 10)
+        if load.get(Figure.HOLD_BACK, -1) >= 0:
+            share = load[Figure.HOLD_BACK]
+        wait = max(load.get(Figure.WAIT_MS, -1.0), load.get(Figure.QUEUE, -1.0) * self.wait_unit_ms / 10)
         if wait >= 0:
-            share = max(share, self._share_of_wait(wait))
-            self._heed(remote, wait, now)
+            share = max(share, self._share_for_wait(wait))
+            self._adapt_share(remote, wait, now)
         if share >= 0:
             remote.reported_share, remote.share_reported_at = min(share, 1.0), now
 
-    def _heed(self, remote: RemoteExchange, wait_ms: float, now: float) -> None:
+    def _adapt_share(self, remote: RemoteExchange, wait_ms: float, now: float) -> None:
         remote.adapt_share(wait_ms / (TARGET_WAIT * self.wait_unit_ms), now)
 
-    def _share_of_wait(self, wait_ms: float) -> float:
+    def _share_for_wait(self, wait_ms: float) -> float:
         low, high = SHED_START_WAIT * self.wait_unit_ms, SHED_FULL_WAIT * self.wait_unit_ms
         return min(max((wait_ms - low) / (high - low), 0.0), 1.0)
 
-    def _share(self, remote: RemoteExchange, now: float) -> float:
-        """The hold-back share that counts for this exchange now."""
+    def _share_to(self, remote: RemoteExchange, now: float) -> float:
+        """The hold-back share in force towards this exchange: the reported or the adapted one."""
         share = remote.reported_share if now - remote.share_reported_at < SHARE_LIFETIME_MS else 0.0
-        return min(max(share, remote.current_adapted_share(now)), 1 - MIN_ADMITTED_SHARE)
+        return min(max(share, remote.current_adapted_share(now)), 1 - MIN_ADMITTED)
 
     def _own_share(self, now: float) -> float:
-        """The own processor is on every path: its probed share, or else what latencies have in common."""
-        own, share = self.ready_by_number.get(self.settings.here), self._share_of_wait(self._common_wait(now))
-        return min(max(share, self._share(own, now) if own is not None else 0.0), 1 - MIN_ADMITTED_SHARE)
+        """The hold-back share of the own processor (on every path), from probes and from the common wait."""
+        own, share = self.by_number.get(self.settings.here), self._share_for_wait(self._common_wait(now))
+        return min(max(share, self._share_to(own, now) if own is not None else 0.0), 1 - MIN_ADMITTED)
 
     # --- a call ---
 
-    def _offered(self, event: CallOffered, now: float) -> None:
-        kind = self._kind(event.call_class)
-        first_at = self._first_try(event, kind, now)
-        late = now - first_at > kind.aim_ms
-        worth = kind.worth * (kind.late_worth if late else 1.0)
+    def _on_call_offered(self, event: CallOffered, now: float) -> None:
+        service_class = self._class_at(event.call_class)
+        first_tried_at = self._estimate_first_try(event, service_class, now)
+        late = now - first_tried_at > service_class.aim_ms
+        worth = service_class.worth * (service_class.late_worth if late else 1.0)
         for level in self.worth_mix:
             self.worth_mix[level] *= 1 - WORTH_SMOOTHING
         self.worth_mix[worth] = self.worth_mix.get(worth, 0.0) + WORTH_SMOOTHING
-        # a share holds back the least worth first, at random among equals, and as much of the mix as it says
+        # A hold-back share applies to the quantile: it sheds the calls of least worth first, at random among
+        # equals, and in total the fraction of calls that it states.
         below = sum(part for level, part in self.worth_mix.items() if level < worth)
-        roll = (below + self.random.random() * self.worth_mix[worth]) / sum(self.worth_mix.values())
-        call = self.calls[event.call] = Call(event, now, first_at, kind.aim_ms, roll)
-        if first_at == now:  # first tries only: what is wanted of an exchange, also while it is away
+        worth_quantile = (below + self.random.random() * self.worth_mix[worth]) / sum(self.worth_mix.values())
+        call = self.calls[event.call] = Call(event, now, first_tried_at, service_class.aim_ms, worth_quantile)
+        # First tries only, so that the rate is the demand for an exchange, also while it is unavailable.
+        if first_tried_at == now:
             rate, at = self.offered_rates.get(call.number, (0.0, now))
             self.offered_rates[call.number] = (
                 rate * 0.5 ** ((now - at) / RATE_HALF_LIFE_MS) + LN2_MS_PER_S / RATE_HALF_LIFE_MS,
@@ -355,111 +348,113 @@
             )
         self._decide(call, now)
 
-    def _kind(self, index: int) -> CallClass:
-        kinds = self.settings.classes
-        return kinds[index if index < len(kinds) else 0]
+    def _class_at(self, index: int) -> CallClass:
+        known_classes = self.settings.classes
+        return known_classes[index if index < len(known_classes) else 0]
 
-    def _first_try(self, event: CallOffered, kind: CallClass, now: float) -> float:
-        """When this caller first tried: a number that got nowhere lately and is called again is a redial.
+    def _estimate_first_try(self, event: CallOffered, service_class: CallClass, now: float) -> float:
+        """The time of the caller's first try: a call to a number whose last call failed counts as a redial.
 
-        A number that many call at once looks the same; its lines are busy then, whatever its calls are worth.
+        Many callers of one number look the same, but its lines are busy then, whatever the calls are worth.
         """
         if event.in_transit:
             return now
-        first_at = self.unserved.pop(event.called, float("-inf")) if event.called else float("-inf")
-        for called, at in list(self.unserved.items())[:2]:  # the oldest, two for each that may be added
-            if now - at > 2 * kind.deadline_ms:
+        first_tried_at = self.unserved.pop(event.called, float("-inf")) if event.called else float("-inf")
+        for called, at in list(self.unserved.items())[:2]:  # the two oldest, as a call adds at most one
+            if now - at > 2 * service_class.deadline_ms:
                 del self.unserved[called]
-        if now - first_at < kind.deadline_ms:
-            return first_at
+        if now - first_tried_at < service_class.deadline_ms:
+            return first_tried_at
         if event.redialled:
-            return now - 2 * kind.aim_ms
+            return now - 2 * service_class.aim_ms
         usual_budget, votes = self.usual_budget.get(event.call_class, (event.budget_ms, 0))
-        if (
-            now == self.resumed_at
-        ):  # it waited for this softswitch, by as much as its time is shorter than usual
+        # The call waited during the stall of this softswitch, by as much as its budget is shorter than usual.
+        if now == self.resumed_at:
             waited = usual_budget - event.budget_ms
             return now - waited if 0 < waited < self.stalled_ms + TICK_MS else now
         votes += 1 if abs(event.budget_ms - usual_budget) < BUDGET_TOLERANCE_MS else -1
         self.usual_budget[event.call_class] = (
-            (usual_budget, min(votes, MAX_BUDGET_VOTES)) if votes >= 0 else (event.budget_ms, 1)
+            (usual_budget, min(votes, MAX_VOTES)) if votes >= 0 else (event.budget_ms, 1)
         )
         return now
 
-    def _got_nowhere(self, call: Call) -> None:
+    def _remember_unserved(self, call: Call) -> None:
         if not call.transit and call.called:
-            self.unserved[call.called] = call.first_at
+            self.unserved[call.called] = call.first_tried_at
 
     def _decide(self, call: Call, now: float) -> None:
-        """Sends the call if a route is open to it, holds it while one may open in time, else answers it."""
-        if now < call.not_before and call.not_before < call.aim_at:
+        """Sends the call if a route is free, queues it while one may become free in time, else refuses it."""
+        if now < call.not_before and call.not_before < call.slo_at:
             return
         remote = None
-        if now >= call.not_before and call.attempts < self.settings.max_attempts and now < call.end_at:
-            remote = self._route(call, now)
+        if now >= call.not_before and call.attempts < self.settings.max_attempts and now < call.answer_by:
+            remote = self._select_route(call, now)
         if remote is not None:
-            self._send(call, remote, now)
-        elif call.transit or now >= call.aim_at or call.attempts >= self.settings.max_attempts:
-            self._turn_away(call)
+            self._send_set_up(call, remote, now)
+        elif call.transit or now >= call.slo_at or call.attempts >= self.settings.max_attempts:
+            self._refuse(call)
 
-    def _route(self, call: Call, now: float) -> RemoteExchange | None:
-        remote = self.ready_by_number.get(call.number)
+    def _select_route(self, call: Call, now: float) -> RemoteExchange | None:
+        remote = self.by_number.get(call.number)
         if call.number == self.settings.here:
-            # handed over while the caller's own exchange starts: no group leads home, a tandem's two legs do
+            # Handed over while the own exchange of the caller starts: no trunk group leads to the own number,
+            # but two legs over a tandem do.
             blocked = call.transit or now < self.own_down_until
-            return None if blocked else self._alternate(call, None, now)
+            return None if blocked else self._overflow_route(call, None, now)
         if call.transit:
             if (
                 remote is None
                 or call.attempts
                 or not remote.has_room(call.width)
-                or self._barred(remote, now)
+                or self._unavailable(remote, now)
             ):
                 return None
             return remote
         if now < self.own_down_until:
             return None
-        if remote is None or call.roll < max(self._share(remote, now), self._own_share(now)):
-            return None if self.settings.mesh else self._alternate(call, remote, now)
+        if remote is None or call.worth_quantile < max(self._share_to(remote, now), self._own_share(now)):
+            return None if self.settings.mesh else self._overflow_route(call, remote, now)
         if (
-            now > call.came_at
-            and call.aim_at - now < remote.latency
+            now > call.queued_since
+            and call.slo_at - now < remote.latency
             and now - remote.latency_at < SHARE_LIFETIME_MS
         ):
-            return None  # held too long to stand in time: its set-up would be work for nothing
-        if not self._barred(remote, now) and remote.window_open(now):
-            able = self.settings.mesh or remote.number in (self._kind(call.kind).pools or (remote.number,))
-            if able and remote.has_room(call.width) and remote.exchange not in call.tried:
+            return None  # too late: it would be established after its slo
+        if not self._unavailable(remote, now) and remote.window_open(now):
+            eligible = self.settings.mesh or remote.number in (
+                self._class_at(call.class_index).pools or (remote.number,)
+            )
+            if eligible and remote.has_room(call.width) and remote.exchange not in call.tried_exchanges:
                 return remote
         elif self.settings.mesh:
-            return None  # the destination itself can't take it, whichever the route
-        if self.settings.mesh and self._asks(remote, now):
+            return None  # the destination has no capacity, over any route
+        if self.settings.mesh and self._query_legs(remote, now):
             return None
-        return self._alternate(call, remote, now)
+        return self._overflow_route(call, remote, now)
 
-    def _alternate(self, call: Call, to: RemoteExchange | None, now: float) -> RemoteExchange | None:
-        """The tandem with the freest first leg, or the freest pool of second choice.
+    def _overflow_route(self, call: Call, target: RemoteExchange | None, now: float) -> RemoteExchange | None:
+        """The tandem with the most free circuits on its first leg, or the alternate pool with the most.
 
-        A tandem whose second leg is known to be open (a centre named it, or a call stood over it lately) goes
-        before one that is not known. Calls that have a group of their own leave room for direct ones.
+        A tandem whose second leg is known to be open (it was advised, reported or lately carried a call)
+        goes first. Calls that overflow from a direct trunk group leave the trunk reservation free.
         """
-        able = self._kind(call.kind).pools
-        displaces = self.settings.mesh and to is not None and to.group_size > 0
+        allowed_pools = self._class_at(call.class_index).pools
+        has_direct_group = self.settings.mesh and target is not None and target.group_size > 0
         reported_legs = (
-            to.reported_legs
-            if to is not None and now - to.legs_reported_at < LEG_REPORT_LIFETIME_MS
+            target.reported_legs
+            if target is not None and now - target.legs_reported_at < LEG_REPORT_LIFETIME_MS
             else None
         )
-        if self.settings.mesh and call.roll < 1 - TANDEM_ADMISSION_FACTOR * self.tandem_success:
+        if self.settings.mesh and call.worth_quantile < 1 - TANDEM_ADMISSION_FACTOR * self.tandem_success:
             return None
         best, best_key = None, (-1, -1.0)
         for remote in self.exchanges.values():
-            room = call.width + (TRUNK_RESERVATION * remote.group_size if displaces else 0)
+            room = call.width + (TRUNK_RESERVATION * remote.group_size if has_direct_group else 0)
             known = (
-                now - remote.second_leg_open_at.get(call.number, float("-inf"))
-                < self.mean_hold_ms * SECOND_LEG_LIFETIME
+                now - remote.leg_open_at.get(call.number, float("-inf"))
+                < self.mean_hold_ms * OPEN_LEG_LIFETIME
             )
-            if remote.number == call.advised or to is not None and remote.number in to.reported_legs:
+            if remote.number == call.advised or target is not None and remote.number in target.reported_legs:
                 known = True
             key = (int(known), float(remote.free_circuits))
             if (
@@ -467,35 +462,35 @@
                 and remote.free_circuits >= room
                 and remote.health is Health.READY
                 and remote.number not in (call.number, self.settings.here)
-                and (self.settings.mesh or not able or remote.number in able)
-                and remote.exchange not in call.tried
+                and (self.settings.mesh or not allowed_pools or remote.number in allowed_pools)
+                and remote.exchange not in call.tried_exchanges
                 and (reported_legs is None or reported_legs.get(remote.number, 0) >= call.width)
                 and now >= remote.tandem_backoff.get(call.number, (now, 0.0))[0]
-                and call.roll >= self._share(remote, now)
+                and call.worth_quantile >= self._share_to(remote, now)
                 and remote.window_open(now)
-                and not self._cold(remote, now)
-                and not self._barred(remote, now)
+                and not self._is_cold(remote, now)
+                and not self._unavailable(remote, now)
             ):
                 best, best_key = remote, key
         return best
 
-    def _barred(self, remote: RemoteExchange, now: float) -> bool:
-        return self._shut(remote, now) or not self._paced(remote, now)
+    def _unavailable(self, remote: RemoteExchange, now: float) -> bool:
+        return self._awaits_recovery(remote, now) or not self._pace_allows(remote, now)
 
-    def _shut(self, remote: RemoteExchange, now: float) -> bool:
-        """A dead exchange (cuts, refused connections) gets one trial at a time, ever rarer, until it answers.
+    def _awaits_recovery(self, remote: RemoteExchange, now: float) -> bool:
+        """Whether a failed exchange takes no set-up now: it gets single recovery probes with growing pauses.
 
-        Guards against bursts of failures that come back at once, which neither a share nor the window sees.
+        Guards against bursts of immediate failures, which change neither a hold-back share nor the window.
         """
         return remote.failed and (now < remote.recovery_probe_at or remote.recovery_probe in self.calls)
 
-    def _send(self, call: Call, remote: RemoteExchange, now: float) -> None:
+    def _send_set_up(self, call: Call, remote: RemoteExchange, now: float) -> None:
         call.attempts += 1
-        call.out = remote.exchange
+        call.pending_exchange = remote.exchange
         remote.pending[call.id] = now
         if remote.failed:
             remote.recovery_probe = call.id
-        pace = self._pace(remote, now)
+        pace = self._cold_pace(remote, now)
         if pace:
             remote.next_paced_at = now + 1000.0 / pace
         remote.last_sent_width = call.width + (remote.last_sent_width if remote.last_sent_at == now else 0)
@@ -503,65 +498,63 @@
         remote.free_circuits = (
             max(remote.free_circuits - call.width, 0) if remote.free_circuits >= 0 else remote.free_circuits
         )
-        wait = min(max(call.aim_at - now, self.wait_unit_ms), call.end_at - now)
+        wait = min(max(call.slo_at - now, self.wait_unit_ms), call.answer_by - now)
         self.actions.append(SetUp(call.id, remote.exchange, wait))
 
-    def _turn_away(self, call: Call) -> None:
+    def _refuse(self, call: Call) -> None:
         del self.calls[call.id]
-        self._got_nowhere(call)
+        self._remember_unserved(call)
         advice = self.settings.max_retry_advice_ms if self.settings.retry_advice else 0.0
-        self.actions.append(GiveUp(call.id, advice) if self._spent(call) else Refuse(call.id, advice))
+        self.actions.append(GiveUp(call.id, advice) if self._unrepeatable(call) else Refuse(call.id, advice))
 
-    def _spent(self, call: Call) -> bool:
-        """The call may have run, and is of a class that must not run twice."""
-        return call.may_have_run and self._kind(call.kind).repeat is not Repeat.FREE
+    def _unrepeatable(self, call: Call) -> bool:
+        """Whether the call may have run already and its class forbids to run it twice."""
+        return call.may_have_run and self._class_at(call.class_index).repeat is not Repeat.FREE
 
-    # --- messages: which second legs have room, asked of the destination, which knows its own groups ---
+    # --- peer messages: free circuits of second legs, which only the destination knows ---
 
-    def _asks(self, to: RemoteExchange, now: float) -> bool:
+    def _query_legs(self, target: RemoteExchange, now: float) -> bool:
         """Asks the destination of a blocked call for its free circuits; true while the call should wait.
 
-        Nothing depends on it: where the last questions stayed without answer, no call waits for the next.
+        The answer is optional: after two queries without an answer no call waits for the next one.
         """
-        if not self.settings.may_message or now - to.legs_reported_at < LEG_REPORT_LIFETIME_MS:
+        if not self.settings.may_message or now - target.legs_reported_at < LEG_REPORT_LIFETIME_MS:
             return False
-        if now - to.legs_queried_at >= LEG_REPORT_LIFETIME_MS:
-            to.legs_queried_at, to.unanswered_queries = now, to.unanswered_queries + 1
-            slot = self.peer_by_number.get(to.number, to.number)
-            self.actions.append(Tell(slot, struct.pack(">cH", b"?", to.number)))
-        return to.unanswered_queries <= 2 and now - to.legs_queried_at < LEG_QUERY_TIMEOUT_MS
-
-    def _message(self, sender: int, payload: bytes, now: float) -> None:
-        """A question for, or an answer with, free circuits; anything else is ignored, as is a stranger's."""
+        if now - target.legs_queried_at >= LEG_REPORT_LIFETIME_MS:
+            target.legs_queried_at, target.unanswered_queries = now, target.unanswered_queries + 1
+            slot = self.peer_by_number.get(target.number, target.number)
+            self.actions.append(Tell(slot, struct.pack(">cH", b"?", target.number)))
+        return target.unanswered_queries <= 2 and now - target.legs_queried_at < LEG_QUERY_TIMEOUT_MS
+
+    def _on_peer_message(self, sender: int, payload: bytes, now: float) -> None:
+        """Handles a query (?) or a report (!) of free circuits; ignores anything else and unknown senders."""
         if not self.settings.may_message or sender >= self.settings.softswitches or len(payload) < 3:
             return
-        kind, number = struct.unpack_from(">cH", payload)
-        if kind == b"?" and number == self.settings.here:
+        code, number = struct.unpack_from(">cH", payload)
+        if code == b"?" and number == self.settings.here:
             ready = [
-                f
-                for f in self.ready_by_number.values()
-                if f.group_size > 0 and f.number != self.settings.here
+                f for f in self.by_number.values() if f.group_size > 0 and f.number != self.settings.here
             ]
             ready.sort(key=lambda remote: -remote.free_circuits)
-            told = [
+            entries = [
                 struct.pack(">HB", f.number, min(f.free_circuits, 255)) for f in ready[:MAX_REPORTED_LEGS]
             ]
-            self.actions.append(Tell(sender, struct.pack(">cH", b"!", number) + b"".join(told)))
-        elif kind == b"!" and len(payload) % 3 == 0 and number in self.ready_by_number:
-            remote = self.ready_by_number[number]
+            self.actions.append(Tell(sender, struct.pack(">cH", b"!", number) + b"".join(entries)))
+        elif code == b"!" and len(payload) % 3 == 0 and number in self.by_number:
+            remote = self.by_number[number]
             remote.reported_legs = dict(struct.iter_unpack(">HB", payload[3:]))
             remote.legs_reported_at, remote.unanswered_queries = now, 0
             self.peer_by_number[number] = sender
-            self._retry_held(now, number)
+            self._retry_queued(now, number)
 
     # --- cold processors ---
 
-    def _cold(self, remote: RemoteExchange, now: float) -> bool:
+    def _is_cold(self, remote: RemoteExchange, now: float) -> bool:
         return remote.started_at > 0 and now - remote.started_at < self.settings.cold_ms
 
-    def _pace(self, remote: RemoteExchange, now: float) -> float:
-        """Set-ups a second that may go to a cold processor from here; 0 when it is warm."""
-        if not self._cold(remote, now):
+    def _cold_pace(self, remote: RemoteExchange, now: float) -> float:
+        """Set-ups a second that this softswitch may send to a cold processor; 0 when it is not cold."""
+        if not self._is_cold(remote, now):
             return 0.0
         warm = max(now - remote.started_at, 0.0) / self.settings.cold_ms
         ramp = self.settings.cold_from + (1 - self.settings.cold_from) * warm
@@ -569,63 +562,66 @@
         least = MIN_COLD_RATE_PER_S / max(self.settings.softswitches, 1)
         return max(rate, least) * ramp * max(self.settings.fall_multiple * COLD_PACE_SAFETY, 0.5)
 
-    def _paced(self, remote: RemoteExchange, now: float) -> bool:
-        return now >= remote.next_paced_at or not self._cold(remote, now)
+    def _pace_allows(self, remote: RemoteExchange, now: float) -> bool:
+        return now >= remote.next_paced_at or not self._is_cold(remote, now)
 
-    # --- what comes back ---
+    # --- outcomes of attempts, and load reports ---
 
-    def _stands(self, event: CallStands, now: float) -> None:
+    def _on_call_established(self, event: CallStands, now: float) -> None:
         call = self.calls.pop(event.call, None)
         remote = self.exchanges.get(event.exchange)
         if remote is None:
             return
         remote.pending.pop(event.call, None)
         remote.mark_answered(now)
-        self._retry_held(now, remote.number)
+        self._retry_queued(now, remote.number)
         if call is not None and call.number != remote.number and self.settings.mesh:
             remote.tandem_backoff.pop(call.number, None)
-            remote.second_leg_open_at[call.number] = now
+            remote.leg_open_at[call.number] = now
             self.tandem_success += (1 - self.tandem_success) * TANDEM_SUCCESS_SMOOTHING
-            return  # over a tandem: the wait of two processors, which says little of either
+            return  # the latency of two processors says little of either
         self.base_latency = min(self.base_latency, event.latency_ms)
-        self._latency(remote, event.latency_ms, now)
+        self._update_latency(remote, event.latency_ms, now)
 
-    def _latency(self, remote: RemoteExchange, latency_ms: float, now: float) -> None:
-        if now == self.resumed_at:  # what came while this softswitch stood still tells of itself alone
+    def _update_latency(self, remote: RemoteExchange, latency_ms: float, now: float) -> None:
+        # Latencies that were measured across an own stall say nothing about the exchange.
+        if now == self.resumed_at:
             return
         fresh = now - remote.latency_at < SHARE_LIFETIME_MS
         remote.latency += (latency_ms - remote.latency) * (LATENCY_SMOOTHING if fresh else 1.0)
         remote.latency_at = now
         remote.update_window((latency_ms - self.base_latency) / self.wait_unit_ms, latency_ms, now)
-        own = self.ready_by_number.get(self.settings.here)
+        own = self.by_number.get(self.settings.here)
         if own is not None:
-            self._heed(own, self._common_wait(now) / 2, now)
+            self._adapt_share(own, self._common_wait(now) / 2, now)
 
     def _common_wait(self, now: float) -> float:
-        """What the latest latencies to all exchanges have in common: the own processor is on every path."""
+        """The wait common to recent latencies to all exchanges: the own processor, as it is on every path."""
         seen = [f.latency for f in self.exchanges.values() if now - f.latency_at < SHARE_LIFETIME_MS / 2]
         return min(seen) - self.base_latency if len(seen) > 1 else 0.0
 
-    def _ended(self, event: AttemptEnded, now: float) -> None:
+    def _on_attempt_ended(self, event: AttemptEnded, now: float) -> None:
         remote = self.exchanges.get(event.exchange)
         call = self.calls.get(event.call)
         if remote is not None:
-            self._learn(remote, call, event, now)
+            self._note_outcome(remote, call, event, now)
         if call is not None:
-            self._go_on(remote, call, event, now)
+            self._next_step(remote, call, event, now)
 
-    def _learn(self, remote: RemoteExchange, call: Call | None, event: AttemptEnded, now: float) -> None:
-        """What the end of an attempt tells of the exchange that it went to."""
-        self._figures(remote, event.report, now)
+    def _note_outcome(
+        self, remote: RemoteExchange, call: Call | None, event: AttemptEnded, now: float
+    ) -> None:
+        """Updates the view of the exchange that a failed attempt went to."""
+        self._update_load(remote, event.report, now)
         sent = remote.pending.pop(event.call, None)
         direct = call is None or call.number == remote.number
         full = event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.TURNED_BACK
         late = full or event.ending is Ending.TIMED_OUT
-        if late and direct:  # it would have waited at least so long
+        if late and direct:  # the wait would have been at least this long
             waited = max(
                 event.latency_ms, remote.latency, self.base_latency + SHED_FULL_WAIT * self.wait_unit_ms
             )
-            self._latency(remote, waited, now)
+            self._update_latency(remote, waited, now)
         if remote.recovery_probe == event.call:
             remote.recovery_probe = None
         broken = event.ending in (Ending.UNREACHABLE, Ending.CUT)
@@ -634,77 +630,77 @@
             if direct or event.ending is not Ending.CUT:
                 remote.mark_failed(now, self.wait_unit_ms)
         elif event.ending is Ending.TURNED_BACK and not late or event.ending is Ending.ERROR:
-            remote.mark_answered(
-                now
-            )  # the end of a standing call is no sign of life, nor a full processor's refusal
+            # The end of an established call does not show that the exchange works, nor does a full processor.
+            remote.mark_answered(now)
 
-    def _go_on(self, remote: RemoteExchange | None, call: Call, event: AttemptEnded, now: float) -> None:
-        """What becomes of the call: concluded, tried again after its release, or answered."""
-        call.out = None
+    def _next_step(self, remote: RemoteExchange | None, call: Call, event: AttemptEnded, now: float) -> None:
+        """Concludes the call, tries it again once its attempt is released, or refuses it."""
+        call.pending_exchange = None
         if event.over:
             del self.calls[call.id]
-            self._got_nowhere(call)
+            self._remember_unserved(call)
             return
         if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
             call.not_before = now + self.settings.release_ms
         if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED, Ending.ERROR):
             call.may_have_run = True
         if remote is not None and remote.number != call.number:
-            self._failed_over(remote, call, now)
+            self._back_off_tandem(remote, call, now)
         elif event.reason is Reason.NO_CIRCUIT and event.ending is not Ending.NOT_SENT:
-            call.tried.append(event.exchange)
+            call.tried_exchanges.append(event.exchange)
         if event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.NOT_SENT:
-            self.own_down_until = (
-                now + 2 * self.wait_unit_ms
-            )  # the own processor is down: all calls wait for it
+            self.own_down_until = now + 2 * self.wait_unit_ms  # all calls wait for the own processor
         hopeless = event.ending is not Ending.NOT_SENT and event.reason in (
             Reason.LINES_BUSY,
             Reason.PROCESSOR_FULL,
             Reason.TANDEM_FAR_FULL,
         )
-        if hopeless or self._spent(call) or call.transit:
-            self._turn_away(call)
+        if hopeless or self._unrepeatable(call) or call.transit:
+            self._refuse(call)
         else:
             self._decide(call, now)
 
-    def _failed_over(self, remote: RemoteExchange, call: Call, now: float) -> None:
-        """A tandem that did not set a call up is left alone towards that destination, ever longer."""
-        call.tried.append(remote.exchange)
+    def _back_off_tandem(self, remote: RemoteExchange, call: Call, now: float) -> None:
+        """Excludes a tandem that failed a call from routes to that destination, with exponential back-off."""
+        call.tried_exchanges.append(remote.exchange)
         self.tandem_success -= self.tandem_success * TANDEM_SUCCESS_SMOOTHING
         last = remote.tandem_backoff.get(call.number, (0.0, self.mean_hold_ms * TANDEM_BACKOFF[0] / 2))[1]
         pause = min(2 * last, self.mean_hold_ms * TANDEM_BACKOFF[1])
         remote.tandem_backoff[call.number] = (now + pause, pause)
-        remote.second_leg_open_at.pop(call.number, None)
+        remote.leg_open_at.pop(call.number, None)
 
-    def _report(self, event: Report, now: float) -> None:
+    def _on_report(self, event: Report, now: float) -> None:
         remote = self.exchanges.get(event.exchange)
         if remote is None:
             return
-        if event.asked:  # a probe waits in the same line: its time, or its failing, tells of the processor
-            self._heed(remote, event.latency_ms if event.well else FAILED_PROBE_WAIT * self.wait_unit_ms, now)
+        # A probe waits in the same queue as set-ups: its latency or failure shows the load of the processor.
+        if event.asked:
+            self._adapt_share(
+                remote, event.latency_ms if event.well else FAILED_PROBE_WAIT * self.wait_unit_ms, now
+            )
         if event.well:
-            self._figures(remote, event.figures, now)
+            self._update_load(remote, event.figures, now)
             if not event.asked:
-                self._retry_held(now, remote.number)
+                self._retry_queued(now, remote.number)
 
-    # --- time passes ---
+    # --- timers ---
 
-    def _retry_held(self, now: float, number: int | None = None) -> None:
-        """Looks at held calls again: those for one exchange when it changed, all of them at each tick."""
-        held = [c for c in self.calls.values() if c.out is None and number in (None, c.number)]
+    def _retry_queued(self, now: float, number: int | None = None) -> None:
+        """Decides again on queued calls: those for one exchange after it changed, all of them at a tick."""
+        held = [c for c in self.calls.values() if c.pending_exchange is None and number in (None, c.number)]
         for call in held:
             self._decide(call, now)
 
-    def _tick(self, now: float) -> None:
+    def _on_tick(self, now: float) -> None:
         if self.list_request_at is not None and now > self.list_request_at:
-            self._ask_list()
+            self._request_list()
         if self.settings.may_probe and self.settings.reports is not Reports.NONE:
             pull = self.settings.reports is Reports.WHEN_PROBED
             for remote in self.exchanges.values():
-                own = remote.number == self.settings.here  # which no other probes
+                own = remote.number == self.settings.here  # no other softswitch probes it
                 every = PROBE_INTERVAL_MS if own else self.probe_interval_ms
                 used = own or pull and now - remote.last_sent_at < 2 * every
                 if remote.health is Health.READY and used and now - remote.probed_at >= every:
                     remote.probed_at = now
                     self.actions.append(Probe(remote.exchange))
-        self._retry_held(now)
+        self._retry_queued(now)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -223,7 +223,7 @@
     assert not any(stage.sent(c) for c in calls)
     stage.give(Woken(0), 1000.0)
     tried = [c for c in [call, *calls] if stage.sent(c)[-1:] == [exchange(1)]]
-    out = [c for c in tried if stage.switch.calls[c].out]
+    out = [c for c in tried if stage.switch.calls[c].pending_exchange]
     assert len(out) == 1
     stage.give(CallStands(out[0], exchange(1), len(stage.sent(out[0])) - 1, 100.0), 100.0)
     before = sum(len(stage.sent(c)) for c in calls)
@@ -238,7 +238,7 @@
         stage.give(CallStands(call, exchange(1), 0, 60.0), 60.0)
     quick = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
     for call in list(stage.switch.calls):
-        if call in stage.switch.calls and stage.switch.calls[call].out:
+        if call in stage.switch.calls and stage.switch.calls[call].pending_exchange:
             stage.give(AttemptEnded(call, exchange(1), 0, Ending.TIMED_OUT, True, 1500.0), 400.0)
     slow = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
     assert quick >= 4 and slow <= 2
@@ -395,7 +395,7 @@
     before = len(stage.done)
     for _ in range(25):
         stage.call(1)
-        for call in [c for c in stage.switch.calls.values() if c.out]:
+        for call in [c for c in stage.switch.calls.values() if c.pending_exchange]:
             stage.give(CallStands(call.id, exchange(1), 0, 60.0))
         stage.give(Woken(0), 200.0)
     sent = sum(isinstance(a, SetUp) for _, a in stage.done[before:])
