--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,8 @@
-"""Plays random legal event sequences and asserts the five rules on all that the module does."""
+"""Feeds random legal event sequences to the decision module and checks the five rules on every action.
+
+The rules: each call is answered once and in time; it has one pending attempt at most; no set-up goes to a
+leaving exchange; a cold exchange is paced; no call is sent again before its last attempt is released.
+"""
 
 from __future__ import annotations
 
@@ -31,171 +35,186 @@
 
 
 @dataclass
-class Owed:
+class ExpectedCall:
+    """What the test knows about a call that it offered."""
+
     number: int
-    due: float
+    answer_by: float
     transit: bool
-    out: bytes | None = None
-    out_until: float = 0.0
+    pending_exchange: bytes | None = None
+    attempt_ends_at: float = 0.0
     attempts: int = 0
-    released: float = 0.0
-    final: bool = False
+    earliest_retry_at: float = 0.0
+    concluded: bool = False
 
 
-class Play:
-    """The world around one softswitch, as random as the seed; it judges every action when it is made."""
+class RandomScenario:
+    """Generates the events of one softswitch from a seed and checks each action as soon as it is taken."""
 
-    def __init__(self, seed: int, pools: bool, others: int = 4) -> None:
-        self.others = others
+    def __init__(self, seed: int, uses_pools: bool, remote_count: int = 4) -> None:
+        self.remote_count = remote_count
         self.rng = random.Random(seed)
         base = replace(
-            SETTINGS, may_probe=True, may_message=True, softswitches=others + 1, reports=Reports.WHEN_PROBED
+            SETTINGS,
+            may_probe=True,
+            may_message=True,
+            softswitches=remote_count + 1,
+            reports=Reports.WHEN_PROBED,
         )
-        if pools:
-            kinds = tuple(replace(c, pools=tuple(range(others + 1))) for c in base.classes)
-            base = replace(base, mesh=False, here=-1, classes=kinds)
-        self.pools = pools
-        self.stage = Stage(base, others, seed)
-        self.owed: dict[int, Owed] = {}
-        self.barred: set[bytes] = set()
-        self.cold: dict[bytes, list[float]] = {}
+        if uses_pools:
+            classes_with_pools = tuple(replace(c, pools=tuple(range(remote_count + 1))) for c in base.classes)
+            base = replace(base, mesh=False, here=-1, classes=classes_with_pools)
+        self.uses_pools = uses_pools
+        self.stage = Stage(base, remote_count, seed)
+        self.calls: dict[int, ExpectedCall] = {}
+        self.leaving: set[bytes] = set()
+        self.sent_while_cold: dict[bytes, list[float]] = {}
         self.timers: list[tuple[float, int]] = []
-        self.seen = 0
-        self.judge()
+        self.checked = 0
+        self.check_actions()
 
-    def judge(self) -> None:
-        for now, action in self.stage.done[self.seen :]:
+    def check_actions(self) -> None:
+        for now, action in self.stage.done[self.checked :]:
             if isinstance(action, WakeAt):
                 self.timers.append((action.at_ms, action.token))
             elif isinstance(action, SetUp):
-                call = self.owed[action.call]
-                assert not call.final, "sent after its end"
-                assert call.out is None, "two attempts out"
-                assert now >= call.released, "release not awaited"
-                assert action.exchange not in self.barred, "sent to a leaving exchange"
+                call = self.calls[action.call]
+                assert not call.concluded, "set-up sent after the call was concluded"
+                assert call.pending_exchange is None, "two pending attempts"
+                assert now >= call.earliest_retry_at, "set-up sent before the last attempt was released"
+                assert action.exchange not in self.leaving, "set-up sent to a leaving exchange"
                 assert call.attempts < SETTINGS.max_attempts
                 assert not call.transit or action.exchange[3] == call.number
-                assert self.pools or action.exchange != exchange(0)
-                call.out, call.attempts = action.exchange, call.attempts + 1
-                call.out_until = min(now + action.wait_ms if action.wait_ms else call.due, call.due)
-                if action.exchange in self.cold:
-                    self.cold[action.exchange].append(now)
-                    recent = [t for t in self.cold[action.exchange] if t > now - SETTINGS.fall_ms]
-                    assert len(recent) <= 3, "a cold exchange is pushed"
+                assert self.uses_pools or action.exchange != exchange(0)
+                call.pending_exchange, call.attempts = action.exchange, call.attempts + 1
+                call.attempt_ends_at = min(
+                    now + action.wait_ms if action.wait_ms else call.answer_by, call.answer_by
+                )
+                if action.exchange in self.sent_while_cold:
+                    self.sent_while_cold[action.exchange].append(now)
+                    recent = [t for t in self.sent_while_cold[action.exchange] if t > now - SETTINGS.fall_ms]
+                    assert len(recent) <= 3, "too many set-ups to a cold exchange"
             elif isinstance(action, Refuse | GiveUp):
-                call = self.owed[action.call]
-                assert not call.final, "two final answers"
-                assert call.out is None and now <= call.due + 20
-                call.final = True
-        self.seen = len(self.stage.done)
+                call = self.calls[action.call]
+                assert not call.concluded, "two final answers"
+                assert call.pending_exchange is None and now <= call.answer_by + 20
+                call.concluded = True
+        self.checked = len(self.stage.done)
 
     def step(self) -> None:
         rng, stage = self.rng, self.stage
         if rng.random() < 0.02:
-            self.stall()
+            self.stall_two_seconds()
         else:
             stage.now += rng.choice((0.0, 5.0, 5.0, 20.0, 60.0))
         for timer in sorted(t for t in self.timers if t[0] <= stage.now):
             self.timers.remove(timer)
             stage.give(Woken(timer[1]))
-            self.judge()
-        for name, call in list(self.owed.items()):
-            if call.final:
+            self.check_actions()
+        for call_id, call in list(self.calls.items()):
+            if call.concluded:
                 continue
-            if call.out and (stage.now >= call.out_until or rng.random() < 0.2):
-                self.end(name, call, stage.now >= call.out_until)
-                self.judge()
-            assert call.final or call.out or stage.now <= call.due + 20, "no answer in time"
+            if call.pending_exchange and (stage.now >= call.attempt_ends_at or rng.random() < 0.2):
+                self.end_attempt(call_id, call, stage.now >= call.attempt_ends_at)
+                self.check_actions()
+            assert (
+                call.concluded or call.pending_exchange or stage.now <= call.answer_by + 20
+            ), "no answer in time"
         chance = rng.random()
         if chance < 0.5:
-            self.offer()
+            self.offer_call()
         elif chance < 0.7:
-            n = rng.randint(1, self.others)
-            stage.give(Report(exchange(n), False, True, 0.0, (float(rng.randint(0, 12)), 20.0, -1.0)))
+            number = rng.randint(1, self.remote_count)
+            stage.give(Report(exchange(number), False, True, 0.0, (float(rng.randint(0, 12)), 20.0, -1.0)))
         elif chance < 0.8:
             figures = (9.0, 20.0, rng.random())
-            stage.give(Report(exchange(rng.randint(0, self.others)), True, rng.random() < 0.8, 30.0, figures))
+            stage.give(
+                Report(exchange(rng.randint(0, self.remote_count)), True, rng.random() < 0.8, 30.0, figures)
+            )
         elif chance < 0.84:
-            self.news()
+            self.change_exchange_list()
         elif chance < 0.9:
-            self.message()
-        elif chance < 0.92 and self.owed:
-            name = rng.choice(list(self.owed))
-            if not self.owed[name].out:
-                self.owed[name].final = True
-                stage.give(CallerLeft(name))
-        self.judge()
-
-    def stall(self) -> None:
-        """Two seconds without a turn: callers whose time ran out meanwhile have left when it is back."""
+            self.send_peer_message()
+        elif chance < 0.92 and self.calls:
+            call_id = rng.choice(list(self.calls))
+            if not self.calls[call_id].pending_exchange:
+                self.calls[call_id].concluded = True
+                stage.give(CallerLeft(call_id))
+        self.check_actions()
+
+    def stall_two_seconds(self) -> None:
+        """Two seconds pass without an event; callers whose budget ends meanwhile abandon their calls."""
         self.stage.now += 2000.0
         self.stage.wakes.clear()
-        for name, call in self.owed.items():
-            if not call.final and call.due < self.stage.now:
-                call.final = True
-                self.stage.give(CallerLeft(name))
-                self.judge()
-
-    def message(self) -> None:
-        number, kind = self.rng.randint(0, self.others), self.rng.choice((b"?", b"!", b"#"))
+        for call_id, call in self.calls.items():
+            if not call.concluded and call.answer_by < self.stage.now:
+                call.concluded = True
+                self.stage.give(CallerLeft(call_id))
+                self.check_actions()
+
+    def send_peer_message(self) -> None:
+        number, kind = self.rng.randint(0, self.remote_count), self.rng.choice((b"?", b"!", b"#"))
         payload = struct.pack(">cH", kind, number) + self.rng.randbytes(self.rng.choice((0, 3, 30, 31)))
-        self.stage.give(PeerMessage(self.rng.randint(0, self.others + 3), payload))
+        self.stage.give(PeerMessage(self.rng.randint(0, self.remote_count + 3), payload))
 
-    def offer(self) -> None:
+    def offer_call(self) -> None:
         rng, stage = self.rng, self.stage
-        name, number = stage.next_call + 1, rng.randint(0, self.others)
-        transit, budget = not self.pools and rng.random() < 0.2, rng.choice((40.0, 400.0, 3000.0, 9000.0))
-        self.owed[name] = Owed(number, stage.now + budget, transit)
+        call_id, number = stage.next_call + 1, rng.randint(0, self.remote_count)
+        transit, budget = (
+            not self.uses_pools and rng.random() < 0.2,
+            rng.choice((40.0, 400.0, 3000.0, 9000.0)),
+        )
+        self.calls[call_id] = ExpectedCall(number, stage.now + budget, transit)
         kind = rng.randint(0, 1)
         stage.call(number, SETTINGS.classes[kind].width, budget, transit, kind)
 
-    def news(self) -> None:
-        number = self.rng.randint(1, self.others)
+    def change_exchange_list(self) -> None:
+        number = self.rng.randint(1, self.remote_count)
         health = self.rng.choice((Health.READY, Health.DRAINING, Health.GONE))
         came_up = self.stage.now if health is Health.READY else 0.0
-        self.barred.discard(exchange(number))
-        self.cold.pop(exchange(number), None)
+        self.leaving.discard(exchange(number))
+        self.sent_while_cold.pop(exchange(number), None)
         if health is Health.READY:
-            self.cold[exchange(number)] = []
+            self.sent_while_cold[exchange(number)] = []
         else:
-            self.barred.add(exchange(number))
+            self.leaving.add(exchange(number))
         self.stage.give(ExchangeList(ListKind.CHANGES, (line(number, health, came_up),)))
 
-    def end(self, name: int, call: Owed, timed_out: bool) -> None:
-        rng, stage, at, go = self.rng, self.stage, call.out, call.attempts - 1
-        assert at is not None
+    def end_attempt(self, call_id: int, call: ExpectedCall, timed_out: bool) -> None:
+        rng, stage, exchange_id, attempt = self.rng, self.stage, call.pending_exchange, call.attempts - 1
+        assert exchange_id is not None
         ending = Ending.TIMED_OUT if timed_out else rng.choice(
             (None, Ending.TURNED_BACK, Ending.UNREACHABLE, Ending.CUT, Ending.NOT_SENT, Ending.ERROR)
         )  # fmt: skip
-        call.out = None
+        call.pending_exchange = None
         if ending is None:
-            call.final = True
-            stage.give(CallStands(name, at, go, 80.0))
+            call.concluded = True
+            stage.give(CallStands(call_id, exchange_id, attempt, 80.0))
             return
         if ending in (Ending.TIMED_OUT, Ending.CUT):
-            call.released = stage.now + SETTINGS.release_ms
+            call.earliest_retry_at = stage.now + SETTINGS.release_ms
         reason = Reason.NONE
         if ending is Ending.TURNED_BACK:
             reason = rng.choice((Reason.NO_CIRCUIT, Reason.TANDEM, Reason.PROCESSOR_FULL))
         elif ending is Ending.NOT_SENT:
             reason = rng.choice((Reason.NO_CIRCUIT, Reason.PROCESSOR_FULL))
-        stage.give(AttemptEnded(name, at, go, ending, False, 80.0, reason))
+        stage.give(AttemptEnded(call_id, exchange_id, attempt, ending, False, 80.0, reason))
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), st.booleans(), st.sampled_from((2, 4, 30)))
-def test_the_five_rules_hold_on_random_days(seed: int, pools: bool, others: int) -> None:
-    play = Play(seed, pools, others)
+def test_random_scenarios_keep_the_five_rules(seed: int, uses_pools: bool, remote_count: int) -> None:
+    scenario = RandomScenario(seed, uses_pools, remote_count)
     for _ in range(250):
-        play.step()
-    assert play.seen > 20
+        scenario.step()
+    assert scenario.checked > 20
 
 
 def test_the_same_events_lead_to_the_same_actions() -> None:
-    def played() -> list[object]:
-        play = Play(11, False)
+    def actions_of_a_run() -> list[object]:
+        scenario = RandomScenario(11, False)
         for _ in range(300):
-            play.step()
-        return list(play.stage.done)
+            scenario.step()
+        return list(scenario.stage.done)
 
-    assert played() == played()
+    assert actions_of_a_run() == actions_of_a_run()
