--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The decision module on its own: the mechanism, the five rules, and one test for each defence."""
+"""Unit tests of the decision module: thinning, routing, the five rules, and each overload protection."""
 
 from __future__ import annotations
 
@@ -37,44 +37,48 @@
 N = 3000
 
 
-def survivors(second_choice: bool) -> Counter[int]:
-    """Calls kept of 20, 50 and 30 in a hundred offered first over tandems A, B and C (1, 2, 3) towards 4."""
-    kept: Counter[int] = Counter()
-    for first, offered in ((1, 20), (2, 50), (3, 30)):
-        stage = Stage(EVEN, free=0, seed=first)
-        for n, share in ((1, 0.1), (2, 0.2), (3, 0.4)):
-            room = 90 if n == first else 40 if n == 1 and second_choice else 0
-            stage.circuits(n, room, share)
+def calls_admitted_by_tandem(two_tandems: bool) -> Counter[int]:
+    """Calls to exchange 4 that each tandem admits, by number, of N calls offered.
+
+    20, 50 and 30 per cent of them have tandem 1, 2 and 3 as first choice; the tandems' hold-back shares are
+    0.1, 0.2 and 0.4, that of exchange 4 is 0.3. With two tandems, tandem 1 is the second choice.
+    """
+    admitted: Counter[int] = Counter()
+    for first_choice, offered_percent in ((1, 20), (2, 50), (3, 30)):
+        stage = Stage(EVEN, free=0, seed=first_choice)
+        for number, hold_back in ((1, 0.1), (2, 0.2), (3, 0.4)):
+            free_circuits = 90 if number == first_choice else 40 if number == 1 and two_tandems else 0
+            stage.circuits(number, free_circuits, hold_back)
         stage.circuits(4, 0, 0.3)
-        for k in range(N * offered // 100):
+        for index in range(N * offered_percent // 100):
             call, actions = stage.call(4)
             for action in actions:
                 if isinstance(action, SetUp):
-                    kept[action.exchange[3]] += 1
+                    admitted[action.exchange[3]] += 1
                     stage.give(CallStands(call, action.exchange, 0, 50.0))
-            if k % 20 == 0:
+            if index % 20 == 0:
                 stage.give(CallerLeft(call))
-            stage.circuits(first, 90, {1: 0.1, 2: 0.2, 3: 0.4}[first])
-            if first != 1 and second_choice:
+            stage.circuits(first_choice, 90, {1: 0.1, 2: 0.2, 3: 0.4}[first_choice])
+            if first_choice != 1 and two_tandems:
                 stage.circuits(1, 40, 0.1)
-    return kept
+    return admitted
 
 
-def test_thinning_matches_the_worked_figures() -> None:
-    kept = survivors(second_choice=True)
-    per_cent = [100 * kept[n] / N for n in (1, 2, 3)]
-    assert per_cent[0] == pytest.approx(17, abs=1.2)
-    assert per_cent[1] == pytest.approx(35, abs=1.2)
-    assert per_cent[2] == pytest.approx(18, abs=1.2)
-    assert sum(per_cent) == pytest.approx(70, abs=2)
+def test_thinning_over_two_tandems_admits_the_calculated_shares() -> None:
+    admitted = calls_admitted_by_tandem(two_tandems=True)
+    admitted_percent = [100 * admitted[n] / N for n in (1, 2, 3)]
+    assert admitted_percent[0] == pytest.approx(17, abs=1.2)
+    assert admitted_percent[1] == pytest.approx(35, abs=1.2)
+    assert admitted_percent[2] == pytest.approx(18, abs=1.2)
+    assert sum(admitted_percent) == pytest.approx(70, abs=2)
 
 
-def test_thinning_without_a_second_tandem() -> None:
-    kept = survivors(second_choice=False)
-    assert [100 * kept[n] / N for n in (1, 2, 3)] == pytest.approx([14, 35, 18], abs=1.2)
+def test_thinning_over_one_tandem_admits_the_calculated_shares() -> None:
+    admitted = calls_admitted_by_tandem(two_tandems=False)
+    assert [100 * admitted[n] / N for n in (1, 2, 3)] == pytest.approx([14, 35, 18], abs=1.2)
 
 
-def test_direct_first_then_the_freest_first_leg() -> None:
+def test_the_direct_route_goes_before_the_tandem_with_the_freest_first_leg() -> None:
     stage = Stage()
     call, _ = stage.call(1)
     assert stage.sent(call) == [exchange(1)]
@@ -86,7 +90,7 @@
     assert stage.sent(call) == [exchange(3)]
 
 
-def test_transit_goes_on_or_is_turned_back() -> None:
+def test_a_transit_call_is_sent_to_its_destination_or_refused() -> None:
     stage = Stage()
     call, _ = stage.call(2, transit=True)
     assert stage.sent(call) == [exchange(2)]
@@ -95,7 +99,7 @@
     assert any(isinstance(a, Refuse) and a.call == call for a in actions)
 
 
-def test_transit_is_not_thinned_again() -> None:
+def test_a_transit_call_is_not_thinned_again() -> None:
     stage = Stage(EVEN)
     stage.circuits(2, 100, 0.9)
     calls = []
@@ -109,24 +113,24 @@
 def test_rule_one_every_call_is_answered_once_and_in_time() -> None:
     stage = Stage(free=0)
     call, _ = stage.call(1, budget=900.0)
-    begun = stage.now
+    offered_at = stage.now
     for _ in range(40):
         stage.give(Woken(0), 25.0)
     assert stage.answers(call) == 1
-    (at,) = (t for t, a in stage.done if isinstance(a, Refuse) and a.call == call)
-    assert at <= begun + 900.0
+    (refused_at,) = (t for t, a in stage.done if isinstance(a, Refuse) and a.call == call)
+    assert refused_at <= offered_at + 900.0
     stage.circuits(1, 50)
     assert stage.sent(call) == []
 
 
-def test_rule_one_a_call_for_the_own_number_is_answered_once_and_never_sent_home() -> None:
+def test_rule_one_a_call_for_the_own_number_is_answered_once_and_never_sent_to_the_own_exchange() -> None:
     stage = Stage(free=0)
     call, _ = stage.call(0)
     stage.give(Woken(0), 4000.0)
     assert stage.answers(call) == 1 and not stage.sent(call)
 
 
-def test_rule_two_nothing_is_sent_while_an_attempt_is_out() -> None:
+def test_rule_two_no_set_up_is_sent_while_an_attempt_is_pending() -> None:
     stage = Stage()
     call, _ = stage.call(1)
     for n in (1, 2, 3, 4):
@@ -136,192 +140,194 @@
 
 
 @pytest.mark.parametrize("health", [Health.DRAINING, Health.GONE])
-def test_rule_three_nothing_goes_to_a_leaving_exchange(health: Health) -> None:
+def test_rule_three_no_set_up_goes_to_a_leaving_exchange(health: Health) -> None:
     stage = Stage()
     stage.give(ExchangeList(ListKind.CHANGES, (line(1, health),)))
     calls = [stage.call(1)[0] for _ in range(5)]
     assert all(exchange(1) not in stage.sent(c) for c in calls)
 
 
-def test_rule_three_an_exchange_left_out_of_a_whole_list_is_gone() -> None:
+def test_rule_three_an_exchange_missing_from_a_whole_list_is_gone() -> None:
     stage = Stage()
     stage.give(ExchangeList(ListKind.WHOLE, tuple(line(n) for n in (0, 2, 3, 4))))
     call, _ = stage.call(1)
     assert not stage.sent(call)
 
 
-def test_rule_four_a_cold_exchange_is_paced_and_no_tandem() -> None:
+def test_rule_four_a_cold_exchange_is_paced_and_not_used_as_tandem() -> None:
     stage = Stage()
     stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
     calls = [stage.call(1)[0] for _ in range(20)]
     assert sum(len(stage.sent(c)) for c in calls) <= 1
     stage.circuits(2, 0)
-    over, _ = stage.call(2)
-    assert exchange(1) not in stage.sent(over)
+    overflow_call, _ = stage.call(2)
+    assert exchange(1) not in stage.sent(overflow_call)
 
 
-def test_rule_five_the_release_is_awaited() -> None:
+def test_rule_five_a_call_is_not_sent_again_before_the_release_time() -> None:
     stage = Stage()
     stage.circuits(1, 0)
     stage.circuits(2, 90)
     call, _ = stage.call(1)
     assert stage.sent(call) == [exchange(2)]
     stage.give(AttemptEnded(call, exchange(2), 0, Ending.CUT, False, 100.0), 100.0)
-    told = stage.now
+    ended_at = stage.now
     for _ in range(30):
         stage.circuits(3, 90)
         stage.give(Woken(0), 50.0)
-    times = [t for t, a in stage.done if isinstance(a, SetUp) and a.call == call]
-    assert len(times) == 2 and times[1] >= told + SETTINGS.release_ms
+    sent_at = [t for t, a in stage.done if isinstance(a, SetUp) and a.call == call]
+    assert len(sent_at) == 2 and sent_at[1] >= ended_at + SETTINGS.release_ms
 
 
-def test_the_attempt_limit_ends_in_an_answer() -> None:
+def test_a_call_is_answered_when_its_attempts_are_used_up() -> None:
     stage = Stage(replace(SETTINGS, max_attempts=2))
     call, _ = stage.call(1)
-    for go in range(2):
-        stage.give(AttemptEnded(call, exchange(1), go, Ending.NOT_SENT, False, 0.0, Reason.NO_CIRCUIT))
+    for attempt in range(2):
+        stage.give(AttemptEnded(call, exchange(1), attempt, Ending.NOT_SENT, False, 0.0, Reason.NO_CIRCUIT))
     assert len(stage.sent(call)) == 2 and stage.answers(call) == 1
 
 
 def test_a_single_shot_call_is_neither_sent_again_nor_refused() -> None:
-    kinds = (replace(SETTINGS.classes[0], repeat=Repeat.SINGLE_SHOT),)
-    stage = Stage(replace(SETTINGS, classes=kinds))
+    single_shot_classes = (replace(SETTINGS.classes[0], repeat=Repeat.SINGLE_SHOT),)
+    stage = Stage(replace(SETTINGS, classes=single_shot_classes))
     call, _ = stage.call(1)
     actions = stage.give(AttemptEnded(call, exchange(1), 0, Ending.TIMED_OUT, False, 900.0), 900.0)
     assert any(isinstance(a, GiveUp) for a in actions) and len(stage.sent(call)) == 1
 
 
-def test_a_tandem_that_turns_back_is_left_alone_for_that_destination() -> None:
+def test_a_tandem_that_rejected_a_call_is_not_used_for_that_destination() -> None:
     stage = Stage()
     stage.circuits(1, 0)
     stage.circuits(2, 99)
     call, _ = stage.call(1)
     stage.give(AttemptEnded(call, exchange(2), 0, Ending.TURNED_BACK, False, 50.0, Reason.TANDEM))
     assert stage.sent(call) == [exchange(2), exchange(3)]
-    later, _ = stage.call(1)
-    assert exchange(2) not in stage.sent(later)
+    next_call, _ = stage.call(1)
+    assert exchange(2) not in stage.sent(next_call)
 
 
-@pytest.mark.parametrize(("away", "paced"), [(1500.0, False), (2500.0, True)])
-def test_an_exchange_that_answered_just_now_has_not_been_started_anew(away: float, paced: bool) -> None:
+@pytest.mark.parametrize(("since_answer_ms", "cold"), [(1500.0, False), (2500.0, True)])
+def test_an_exchange_that_answered_within_a_restart_time_is_not_cold(
+    since_answer_ms: float, cold: bool
+) -> None:
     stage = Stage(EVEN)
     first, _ = stage.call(1)
     stage.give(CallStands(first, exchange(1), 0, 40.0), 40.0)
     stage.give(Woken(0), 10.0)
     second, _ = stage.call(1)
-    stage.give(AttemptEnded(second, exchange(1), 0, Ending.CUT, False, 20.0), away)
+    stage.give(AttemptEnded(second, exchange(1), 0, Ending.CUT, False, 20.0), since_answer_ms)
     assert stage.switch.exchanges[exchange(1)].failed
     stage.give(CallStands(second, exchange(1), 0, 40.0))
-    assert (stage.switch.exchanges[exchange(1)].started_at > 0) is paced
+    assert (stage.switch.exchanges[exchange(1)].started_at > 0) is cold
 
 
-def test_a_dead_exchange_gets_single_trials_and_comes_back_cold() -> None:
+def test_a_failed_exchange_gets_single_recovery_probes_and_is_cold_afterwards() -> None:
     stage = Stage()
     call, _ = stage.call(1)
     stage.give(AttemptEnded(call, exchange(1), 0, Ending.UNREACHABLE, False, 10.0), 10.0)
     calls = [stage.call(1)[0] for _ in range(10)]
     assert not any(stage.sent(c) for c in calls)
     stage.give(Woken(0), 1000.0)
-    tried = [c for c in [call, *calls] if stage.sent(c)[-1:] == [exchange(1)]]
-    out = [c for c in tried if stage.switch.calls[c].pending_exchange]
-    assert len(out) == 1
-    stage.give(CallStands(out[0], exchange(1), len(stage.sent(out[0])) - 1, 100.0), 100.0)
-    before = sum(len(stage.sent(c)) for c in calls)
+    retried = [c for c in [call, *calls] if stage.sent(c)[-1:] == [exchange(1)]]
+    pending = [c for c in retried if stage.switch.calls[c].pending_exchange]
+    assert len(pending) == 1
+    stage.give(CallStands(pending[0], exchange(1), len(stage.sent(pending[0])) - 1, 100.0), 100.0)
+    sent_before = sum(len(stage.sent(c)) for c in calls)
     assert sum(len(stage.sent(c)) for c in [stage.call(1)[0] for _ in range(10)]) <= 1
-    assert before <= 2
+    assert sent_before <= 2
 
 
-def test_slow_answers_close_the_window() -> None:
+def test_slow_answers_narrow_the_window() -> None:
     stage = Stage()
     for _ in range(6):
         call, _ = stage.call(1)
         stage.give(CallStands(call, exchange(1), 0, 60.0), 60.0)
-    quick = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
+    sent_after_quick_answers = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
     for call in list(stage.switch.calls):
         if call in stage.switch.calls and stage.switch.calls[call].pending_exchange:
             stage.give(AttemptEnded(call, exchange(1), 0, Ending.TIMED_OUT, True, 1500.0), 400.0)
-    slow = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
-    assert quick >= 4 and slow <= 2
+    sent_after_slow_answers = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
+    assert sent_after_quick_answers >= 4 and sent_after_slow_answers <= 2
 
 
-def test_lost_probes_press_the_own_processor() -> None:
+def test_failed_probes_of_the_own_processor_shed_load() -> None:
     stage = Stage(replace(EVEN, may_probe=True, reports=Reports.WHEN_PROBED))
     for _ in range(8):
-        asked = [a for a in stage.give(Woken(0), 1000.0) if isinstance(a, Probe)]
-        assert exchange(0) in [a.exchange for a in asked]
+        probes = [a for a in stage.give(Woken(0), 1000.0) if isinstance(a, Probe)]
+        assert exchange(0) in [a.exchange for a in probes]
         stage.give(Report(exchange(0), True, False, 250.0))
-    sent = sum(len(stage.sent(stage.call(1 + k % 4)[0])) for k in range(40))
+    sent = sum(len(stage.sent(stage.call(1 + index % 4)[0])) for index in range(40))
     assert sent < 12
 
 
-def test_a_worthier_class_is_thinned_less_and_the_mix_keeps_the_share() -> None:
+def test_a_class_of_higher_worth_is_thinned_less_and_the_total_share_is_kept() -> None:
     stage = Stage()
-    kept: Counter[int] = Counter()
-    for k in range(N):
-        kind = 1 if k % 10 == 0 else 0
+    admitted: Counter[int] = Counter()
+    for index in range(N):
+        class_index = 1 if index % 10 == 0 else 0
         stage.circuits(1, 90, 0.5)
-        call, actions = stage.call(1, kind=kind)
+        call, actions = stage.call(1, kind=class_index)
         if any(isinstance(a, SetUp) for a in actions):
-            kept[kind] += 1
+            admitted[class_index] += 1
             stage.give(CallStands(call, exchange(1), 0, 50.0))
         else:
             stage.give(CallerLeft(call))
-    assert kept[1] / (N / 10) > kept[0] / (N * 0.9) + 0.2
-    assert (kept[0] + kept[1]) / N == pytest.approx(0.5, abs=0.04)
+    assert admitted[1] / (N / 10) > admitted[0] / (N * 0.9) + 0.2
+    assert (admitted[0] + admitted[1]) / N == pytest.approx(0.5, abs=0.04)
 
 
-def test_late_redials_give_way_to_first_tries() -> None:
+def test_late_redials_are_thinned_before_first_tries() -> None:
     stage = Stage(EVEN)
-    kept: Counter[bool] = Counter()
+    admitted: Counter[bool] = Counter()
     redials: list[int] = []
-    for k in range(N):
-        late = k % 3 == 2 and bool(redials)
+    for index in range(N):
+        is_redial = index % 3 == 2 and bool(redials)
         stage.circuits(1, 90, 0.5)
-        called = redials.pop() if late else k + 1
+        called = redials.pop() if is_redial else index + 1
         stage.now += 1.0
-        actions = stage.give(CallOffered(k, 1, 0, 1, 3000.0, called=called))
+        actions = stage.give(CallOffered(index, 1, 0, 1, 3000.0, called=called))
         if any(isinstance(a, SetUp) for a in actions):
-            kept[late] += 1
-            stage.give(CallStands(k, exchange(1), 0, 50.0))
+            admitted[is_redial] += 1
+            stage.give(CallStands(index, exchange(1), 0, 50.0))
         else:
-            stage.give(CallerLeft(k), 1.0 if late else 1600.0)
-            if not late:
+            stage.give(CallerLeft(index), 1.0 if is_redial else 1600.0)
+            if not is_redial:
                 redials.append(called)
     assert len(redials) < N / 3
-    late_tries = sum(k % 3 == 2 for k in range(N)) - 1
-    assert kept[False] / (N - late_tries) > kept[True] / late_tries + 0.2
+    redial_count = sum(index % 3 == 2 for index in range(N)) - 1
+    assert admitted[False] / (N - redial_count) > admitted[True] / redial_count + 0.2
 
 
-def test_callers_with_little_time_are_no_redials() -> None:
+def test_callers_with_a_short_budget_do_not_count_as_redials() -> None:
     stage = Stage(EVEN)
-    kept: Counter[bool] = Counter()
-    for k in range(N):
-        hurried = k % 2 == 0
+    admitted: Counter[bool] = Counter()
+    for index in range(N):
+        short_budget = index % 2 == 0
         stage.circuits(1, 90, 0.5)
-        actions = stage.give(CallOffered(k, 1, 0, 1, 500.0 if hurried else 3000.0, called=k + 1))
+        actions = stage.give(CallOffered(index, 1, 0, 1, 500.0 if short_budget else 3000.0, called=index + 1))
         if any(isinstance(a, SetUp) for a in actions):
-            kept[hurried] += 1
-            stage.give(CallStands(k, exchange(1), 0, 50.0))
+            admitted[short_budget] += 1
+            stage.give(CallStands(index, exchange(1), 0, 50.0))
         else:
-            stage.give(CallerLeft(k))
-    assert kept[True] == pytest.approx(kept[False], rel=0.1)
+            stage.give(CallerLeft(index))
+    assert admitted[True] == pytest.approx(admitted[False], rel=0.1)
 
 
-def test_a_list_on_request_is_followed_and_asked_for_again() -> None:
+def test_a_list_on_request_is_watched_and_requested_again_after_a_failure() -> None:
     stage = Stage(replace(SETTINGS, list_on_request=True))
     for _ in range(30):
         stage.give(Woken(0), 100.0)
     assert sum(isinstance(a, FollowList) for _, a in stage.done) == 1
     stage.give(ExchangeList(ListKind.FAILED))
-    before = len(stage.done)
+    actions_before = len(stage.done)
     for _ in range(30):
         stage.give(Woken(0), 100.0)
-    assert any(isinstance(a, FollowList) for _, a in stage.done[before:])
+    assert any(isinstance(a, FollowList) for _, a in stage.done[actions_before:])
 
 
-def test_pools_try_the_first_choice_then_the_freest_able_pool() -> None:
-    kinds = (replace(SETTINGS.classes[0], pools=(1, 2, 3)),)
-    stage = Stage(replace(SETTINGS, mesh=False, here=-1, classes=kinds))
+def test_pool_calls_try_the_first_choice_then_the_freest_allowed_pool() -> None:
+    pool_classes = (replace(SETTINGS.classes[0], pools=(1, 2, 3)),)
+    stage = Stage(replace(SETTINGS, mesh=False, here=-1, classes=pool_classes))
     stage.circuits(3, 99)
     stage.circuits(4, 100)
     call, _ = stage.call(1)
@@ -329,7 +335,7 @@
     assert stage.sent(call) == [exchange(1), exchange(3)]
 
 
-def test_events_that_no_longer_concern_anything_do_no_harm() -> None:
+def test_events_for_unknown_calls_and_exchanges_are_ignored() -> None:
     stage = Stage()
     stage.give(CallerLeft(999))
     stage.give(CallerLeft(999))
@@ -343,23 +349,23 @@
     assert stage.answers(call) == 1 and not stage.sent(call)
 
 
-def test_timers_do_not_pile_up() -> None:
+def test_at_most_one_timer_is_pending() -> None:
     stage = Stage()
     for _ in range(200):
         stage.circuits(1, 50)
-    woken = stage.now / 100.0  # one wake a tick is enough, however much comes in between
-    assert sum(isinstance(a, WakeAt) for _, a in stage.done) <= woken + 1
+    ticks = stage.now / 100.0  # one timer a tick, however many events come between
+    assert sum(isinstance(a, WakeAt) for _, a in stage.done) <= ticks + 1
     assert len(stage.wakes) == 1
 
 
-def test_a_report_without_known_figures_changes_nothing() -> None:
+def test_a_report_without_known_load_values_changes_nothing() -> None:
     stage = Stage(replace(SETTINGS, figures=(Figure.UNKNOWN,)))
     stage.give(Report(exchange(1), False, True, 0.0, (3.0,)))
     stage.give(CallOffered(1, 1, 0, 1, 3000.0))
     assert stage.sent(1) == [exchange(1)]
 
 
-def test_a_held_call_that_cannot_stand_in_time_is_not_sent() -> None:
+def test_a_queued_call_that_cannot_be_established_in_time_is_not_sent() -> None:
     stage = Stage(EVEN)
     for _ in range(8):
         call, _ = stage.call(1)
@@ -371,38 +377,38 @@
     stage.give(CallOffered(9000, 2, 0, 1, 3000.0), 1200.0)
     stage.circuits(1, 50)
     assert not stage.sent(call)
-    fresh, _ = stage.call(1)
-    assert stage.sent(fresh) == [exchange(1)]
+    new_call, _ = stage.call(1)
+    assert stage.sent(new_call) == [exchange(1)]
 
 
 def test_calls_wait_while_the_own_processor_is_down() -> None:
     stage = Stage()
     call, _ = stage.call(1)
     stage.give(AttemptEnded(call, exchange(1), 0, Ending.NOT_SENT, False, 0.0, Reason.PROCESSOR_FULL))
-    other, _ = stage.call(2)
-    assert not stage.sent(other) and len(stage.sent(call)) == 1
+    next_call, _ = stage.call(2)
+    assert not stage.sent(next_call) and len(stage.sent(call)) == 1
     stage.give(Woken(0), 1100.0)
-    assert stage.sent(other) == [exchange(2)]
+    assert stage.sent(next_call) == [exchange(2)]
 
 
-def test_the_pace_of_a_returned_exchange_does_not_fade_while_it_is_away() -> None:
+def test_the_offered_rate_that_sets_the_cold_pace_is_kept_while_an_exchange_is_gone() -> None:
     stage = Stage(EVEN)
     stage.give(ExchangeList(ListKind.CHANGES, (line(1, Health.GONE),)))
     for _ in range(100):
         stage.call(1)
         stage.give(Woken(0), 200.0)
     stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
-    before = len(stage.done)
+    actions_before = len(stage.done)
     for _ in range(25):
         stage.call(1)
         for call in [c for c in stage.switch.calls.values() if c.pending_exchange]:
             stage.give(CallStands(call.id, exchange(1), 0, 60.0))
         stage.give(Woken(0), 200.0)
-    sent = sum(isinstance(a, SetUp) for _, a in stage.done[before:])
+    sent = sum(isinstance(a, SetUp) for _, a in stage.done[actions_before:])
     assert 6 <= sent <= 20
 
 
-def test_an_advised_or_lately_stood_tandem_goes_before_a_freer_first_leg() -> None:
+def test_an_advised_or_lately_used_tandem_goes_before_a_freer_first_leg() -> None:
     stage = Stage()
     stage.circuits(1, 0)
     stage.circuits(2, 90)
@@ -412,95 +418,105 @@
     call, _ = stage.call(1)
     assert stage.sent(call) == [exchange(3)]
     stage.give(CallStands(call, exchange(3), 0, 80.0), 20000.0)
-    other, _ = stage.call(4, width=1)
+    direct_call, _ = stage.call(4, width=1)
     stage.circuits(4, 0)
-    over, _ = stage.call(4)
-    assert stage.sent(other) == [exchange(4)] and stage.sent(over) == [exchange(2)]
+    overflow_call, _ = stage.call(4)
+    assert stage.sent(direct_call) == [exchange(4)] and stage.sent(overflow_call) == [exchange(2)]
 
 
-def test_room_on_a_first_leg_is_kept_from_calls_that_have_a_group_of_their_own() -> None:
+def test_the_trunk_reservation_is_kept_from_calls_that_have_a_direct_group() -> None:
     stage = Stage(others=3, free=0)
     stage.circuits(2, 9)
     call, _ = stage.call(1)
     assert not stage.sent(call)
     stage.give(Report(exchange(3), False, True, 0.0, (0.0, 0.0, -1.0)))
-    apart, _ = stage.call(3)
-    assert stage.sent(apart) == [exchange(2)]
+    call_without_group, _ = stage.call(3)
+    assert stage.sent(call_without_group) == [exchange(2)]
 
 
 MESSAGING = replace(SETTINGS, may_message=True, softswitches=5)
 
 
-def answer(number: int, *legs: tuple[int, int]) -> bytes:
+def leg_report(number: int, *legs: tuple[int, int]) -> bytes:
     return struct.pack(">cH", b"!", number) + b"".join(struct.pack(">HB", *leg) for leg in legs)
 
 
-def test_a_blocked_call_asks_its_destination_which_second_legs_have_room() -> None:
+def test_a_blocked_call_queries_its_destination_for_free_second_legs() -> None:
     stage = Stage(MESSAGING)
     stage.circuits(1, 0)
     stage.circuits(2, 90)
     call, actions = stage.call(1)
     assert [a.to for a in actions if isinstance(a, Tell)] == [1] and not stage.sent(call)
-    stage.give(PeerMessage(1, answer(1, (2, 0), (3, 1), (4, 7))), 20.0)
+    stage.give(PeerMessage(1, leg_report(1, (2, 0), (3, 1), (4, 7))), 20.0)
     assert stage.sent(call) in ([exchange(3)], [exchange(4)])
-    wide, actions = stage.call(1, width=4)
-    assert stage.sent(wide) == [exchange(4)] and not any(isinstance(a, Tell) for a in actions)
+    wide_call, actions = stage.call(1, width=4)
+    assert stage.sent(wide_call) == [exchange(4)] and not any(isinstance(a, Tell) for a in actions)
 
 
-def test_a_question_is_answered_with_the_own_groups() -> None:
+def test_a_query_is_answered_with_the_own_trunk_groups() -> None:
     stage = Stage(MESSAGING)
     stage.circuits(2, 7)
-    (told,) = stage.give(PeerMessage(3, struct.pack(">cH", b"?", 0)))
-    assert isinstance(told, Tell) and told.to == 3 and len(told.payload) <= 256
-    assert (2, 7) in struct.iter_unpack(">HB", told.payload[3:])
+    (reply,) = stage.give(PeerMessage(3, struct.pack(">cH", b"?", 0)))
+    assert isinstance(reply, Tell) and reply.to == 3 and len(reply.payload) <= 256
+    assert (2, 7) in struct.iter_unpack(">HB", reply.payload[3:])
 
 
-def test_lost_messages_hold_no_call_for_long_and_at_last_not_at_all() -> None:
+def test_unanswered_queries_delay_calls_briefly_and_later_not_at_all() -> None:
     stage = Stage(MESSAGING)
     stage.circuits(1, 0)
-    waited = []
+    delays = []
     for _ in range(4):
-        begun = stage.now
+        offered_at = stage.now
         call, _ = stage.call(1)
         while not stage.sent(call):
             stage.give(Woken(0), 50.0)
-        waited.append(stage.now - begun)
+        delays.append(stage.now - offered_at)
         stage.give(CallStands(call, stage.sent(call)[0], 0, 60.0), 4000.0)
-    assert max(waited) <= 250.0 and waited[-1] == 0.0
+    assert max(delays) <= 250.0 and delays[-1] == 0.0
 
 
 @pytest.mark.parametrize(
     "payload",
-    [b"", b"!", b"?\0", b"!\0\1\2", b"x\0\1", answer(77, (1, 1)), b"\xff" * 256, struct.pack(">cH", b"?", 9)],
+    [
+        b"",
+        b"!",
+        b"?\0",
+        b"!\0\1\2",
+        b"x\0\1",
+        leg_report(77, (1, 1)),
+        b"\xff" * 256,
+        struct.pack(">cH", b"?", 9),
+    ],
 )
-def test_messages_of_no_known_form_are_ignored(payload: bytes) -> None:
+def test_malformed_peer_messages_are_ignored(payload: bytes) -> None:
     stage = Stage(MESSAGING)
     assert stage.give(PeerMessage(1, payload)) == []
-    assert stage.give(PeerMessage(60000, answer(1, (2, 9)))) == []
+    assert stage.give(PeerMessage(60000, leg_report(1, (2, 9)))) == []
     assert not stage.switch.exchanges[exchange(1)].reported_legs
-    stage.give(PeerMessage(1, answer(1, (2, 9))))
-    stage.give(PeerMessage(1, answer(1, (2, 9))))
+    stage.give(PeerMessage(1, leg_report(1, (2, 9))))
+    stage.give(PeerMessage(1, leg_report(1, (2, 9))))
     call, _ = stage.call(1)
     assert stage.sent(call) == [exchange(1)]
 
 
-def test_after_a_standstill_old_answers_say_nothing_of_far_ends_and_calls_keep_their_age() -> None:
+def test_after_a_stall_late_answers_do_not_count_and_calls_keep_their_age() -> None:
     stage = Stage(EVEN)
     calls = []
-    for k in range(6):
-        stage.give(CallOffered(7000 + k, 1, 0, 1, 3000.0, called=7000 + k), 30.0)
-        calls.append(7000 + k)
-    stage.wakes.clear()  # no turn for two seconds
+    for index in range(6):
+        stage.give(CallOffered(7000 + index, 1, 0, 1, 3000.0, called=7000 + index), 30.0)
+        calls.append(7000 + index)
+    stage.wakes.clear()  # the timer fires two seconds late
     for call in calls:
         if stage.sent(call):
             stage.give(CallStands(call, exchange(1), 0, 2000.0), 2000.0 if call == calls[0] else 0.0)
-    fresh = [stage.call(1)[0] for _ in range(3)]
-    assert all(stage.sent(call) for call in fresh)
+    new_calls = [stage.call(1)[0] for _ in range(3)]
+    assert all(stage.sent(call) for call in new_calls)
     stage.circuits(2, 0)
     for n in (1, 3, 4):
         stage.circuits(n, 0)
     stage.wakes.clear()
-    stage.give(CallOffered(7100, 2, 0, 1, 1700.0, called=7100), 2000.0)  # 1,300 of its 1,500 ms are gone
+    # 1,300 ms of the call's slo of 1,500 ms have passed.
+    stage.give(CallOffered(7100, 2, 0, 1, 1700.0, called=7100), 2000.0)
     for _ in range(7):
         stage.give(Woken(0), 50.0)
     assert stage.answers(7100) == 1
@@ -509,68 +525,73 @@
 def test_two_leg_calls_are_thinned_while_most_of_them_fail() -> None:
     stage = Stage(EVEN)
 
-    def over(number: int, stands: bool) -> bool:
+    def call_over_tandem(number: int, succeeds: bool) -> bool:
         stage.circuits(number, 0)
         for n in (1, 2, 3, 4):
             if n != number:
                 stage.circuits(n, 90)
                 stage.switch.exchanges[exchange(n)].tandem_backoff.clear()
         call, _ = stage.call(number)
-        at = stage.sent(call)
-        if at and stands:
-            stage.give(CallStands(call, at[0], 0, 60.0), 20.0)
-        for go in range(SETTINGS.max_attempts):
-            if call in stage.switch.calls and len(stage.sent(call)) > go:
-                to = stage.sent(call)[go]
-                stage.give(AttemptEnded(call, to, go, Ending.TURNED_BACK, False, 60.0, Reason.TANDEM), 20.0)
+        first_sent = stage.sent(call)
+        if first_sent and succeeds:
+            stage.give(CallStands(call, first_sent[0], 0, 60.0), 20.0)
+        for attempt in range(SETTINGS.max_attempts):
+            if call in stage.switch.calls and len(stage.sent(call)) > attempt:
+                tandem = stage.sent(call)[attempt]
+                stage.give(
+                    AttemptEnded(call, tandem, attempt, Ending.TURNED_BACK, False, 60.0, Reason.TANDEM), 20.0
+                )
         stage.give(CallerLeft(call))
-        return bool(at)
+        return bool(first_sent)
 
-    well = [over(1, True) for _ in range(60)]
-    ill = [over(1, False) for _ in range(200)][100:]
-    assert all(well) and 1 <= sum(ill) < 60
+    sent_while_successful = [call_over_tandem(1, True) for _ in range(60)]
+    sent_while_failing = [call_over_tandem(1, False) for _ in range(200)][100:]
+    assert all(sent_while_successful) and 1 <= sum(sent_while_failing) < 60
 
 
-@pytest.mark.parametrize("size", [3, 70])
-def test_rule_four_all_softswitches_together_spare_a_cold_exchange(size: int) -> None:
-    """Each sends what it may at most: calls for the cold exchange are always waiting at every softswitch."""
-    stages = [Stage(replace(EVEN, here=0, softswitches=size), seed=k) for k in range(size)]
+@pytest.mark.parametrize("instances", [3, 70])
+def test_rule_four_all_softswitches_together_pace_a_cold_exchange(instances: int) -> None:
+    """Calls for the cold exchange are always queued at every softswitch: each sends as much as it may."""
+    stages = [Stage(replace(EVEN, here=0, softswitches=instances), seed=index) for index in range(instances)]
     sent: list[float] = []
     for stage in stages:
         stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
-        begun, seen = stage.now, len(stage.done)
-        for k in range(60):
-            if k % size == 0 or k == 0:  # as many calls for it in all, whatever the number of softswitches
+        started_at, actions_before = stage.now, len(stage.done)
+        for index in range(60):
+            # The total number of calls does not depend on the number of softswitches.
+            if index % instances == 0 or index == 0:
                 stage.call(1)
             stage.give(Woken(0), 100.0)
-        sent += [at - begun for at, a in stage.done[seen:] if isinstance(a, SetUp)]
-    quarter = max(sum(begin <= t < begin + 250 for t in sent) for begin in range(0, 5000, 50))
-    assert sent and quarter <= (3 if size == 3 else size / 3)
-    assert len(sent) <= (30 if size == 3 else size)
+        sent += [
+            sent_time - started_at for sent_time, a in stage.done[actions_before:] if isinstance(a, SetUp)
+        ]
+    most_in_250_ms = max(sum(begin <= t < begin + 250 for t in sent) for begin in range(0, 5000, 50))
+    assert sent and most_in_250_ms <= (3 if instances == 3 else instances / 3)
+    assert len(sent) <= (30 if instances == 3 else instances)
 
 
-def test_a_call_home_goes_over_a_tandem_while_the_callers_own_exchange_starts() -> None:
-    """Handed over here, and for a subscriber of this very exchange: a send to the own exchange is a fault."""
+def test_a_call_for_the_own_number_goes_over_a_tandem_while_the_callers_exchange_starts() -> None:
+    """A call handed over here, for a subscriber of this exchange: it must not be sent to the own exchange."""
     stage = Stage()
     stage.circuits(2, 90)
     call, _ = stage.call(0)
     assert stage.sent(call) == [exchange(2)], "the freest first leg"
-    # turned back there, it tries another one; never the own exchange
+    # Rejected there, it is sent to another tandem, never to the own exchange.
     stage.give(AttemptEnded(call, exchange(2), 0, Ending.TURNED_BACK, False, 20.0, Reason.TANDEM))
     assert len(stage.sent(call)) == 2 and exchange(0) not in stage.sent(call)
-    # nothing is free: held as any blocked call, and refused at its aim with the time to come back
+    # Without a free circuit it is queued as any blocked call, and refused at its slo.
     for n in range(1, 5):
         stage.circuits(n, 0)
-    held, actions = stage.call(0)
-    assert not stage.sent(held) and not stage.answers(held)
+    queued_call, actions = stage.call(0)
+    assert not stage.sent(queued_call) and not stage.answers(queued_call)
     stage.give(Woken(0), 1600.0)
-    assert stage.answers(held) == 1 and not stage.sent(held)
-    # in transit it may go to its destination alone, which is no other exchange: refused at once
-    moving, actions = stage.call(0, transit=True)
-    assert any(isinstance(action, Refuse) for action in actions) and not stage.sent(moving)
-    # the own processor is down: a set-up from here would not leave
+    assert stage.answers(queued_call) == 1 and not stage.sent(queued_call)
+    # A transit call may go to its destination only, which is the own exchange: it is refused at once.
+    transit_call, actions = stage.call(0, transit=True)
+    assert any(isinstance(action, Refuse) for action in actions) and not stage.sent(transit_call)
+    # The own processor is down: a set-up from here would not be sent.
     stage.circuits(2, 90)
-    down, _ = stage.call(2)
-    stage.give(AttemptEnded(down, exchange(2), 0, Ending.NOT_SENT, False, 0.0, Reason.PROCESSOR_FULL))
-    later, _ = stage.call(0)
-    assert not stage.sent(later)
+    failed_call, _ = stage.call(2)
+    stage.give(AttemptEnded(failed_call, exchange(2), 0, Ending.NOT_SENT, False, 0.0, Reason.PROCESSOR_FULL))
+    next_call, _ = stage.call(0)
+    assert not stage.sent(next_call)
