--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -107,15 +107,16 @@
         """Whether the trunk group has that many free circuits, or does not report them."""
         return self.free_circuits < 0 or self.free_circuits >= width
 
-    def update_window(self, wait_steps: float, latency_ms: float, now: float) -> None:
+    def update_window(self, wait_units: float, latency_ms: float, now: float) -> None:
         """Quick answers widen the window of pending set-ups; slow ones halve it, at most once per latency."""
-        if wait_steps < 1:
+        if wait_units < 1:
             self.window = min(self.window + 1 / max(self.window, 1), MAX_WINDOW)
-        elif wait_steps > 2 and now - self.halved_at > latency_ms:
+        elif wait_units > 2 and now - self.halved_at > latency_ms:
             self.window, self.halved_at = max(self.window / 2, MIN_WINDOW), now
         self.window_opens_at = now + latency_ms * max(1 / self.window - 1, 0.0)
 
     def window_open(self, now: float) -> bool:
+        """Whether the window admits another set-up; below one it spaces single set-ups in time."""
         return len(self.pending) < max(self.window, 1.0) and now >= self.window_opens_at
 
     def adapt_share(self, wait_in_targets: float, now: float) -> None:
@@ -134,6 +135,7 @@
         )
 
     def mark_answered(self, now: float) -> None:
+        """Called when the exchange proved that it works: ends its failure and the back-off."""
         self.recovery_probe = None
         if self.failed and now - self.last_answer_at > MIN_RESTART_MS:
             # A failed exchange that answers again is treated as cold, even before a list reports its start.
@@ -168,8 +170,8 @@
         self.advised = -1 if event.in_transit else event.advised
         self.worth_quantile = worth_quantile
         self.answer_by = now + event.budget_ms - ANSWER_MARGIN_MS
-        late = now - first_tried_at > aim_ms
-        self.queued_since = now if late else first_tried_at
+        past_slo = now - first_tried_at > aim_ms
+        self.queued_since = now if past_slo else first_tried_at
         self.slo_at = min(self.queued_since + aim_ms, self.answer_by - TICK_MS)
         self.not_before = now
         self.attempts = 0
@@ -266,9 +268,9 @@
                         now + self.random.random() * COLD_START_SPREAD * self.settings.classes[0].aim_ms
                     )
         if event.kind is not ListKind.CHANGES:
-            named = {entry.exchange for entry in event.entries}
+            listed = {entry.exchange for entry in event.entries}
             for exchange, remote in self.exchanges.items():
-                if exchange not in named:
+                if exchange not in listed:
                     remote.health = Health.GONE
         gone = [
             remote
@@ -294,8 +296,8 @@
         load = dict(zip(self.settings.figures, figures, strict=False))
         if load.get(Figure.FREE_CIRCUITS, -1) >= 0:
             # Set-ups sent at this very time are not yet part of the reported value.
-            taken = remote.last_sent_width if remote.last_sent_at == now else 0
-            remote.free_circuits = max(int(load[Figure.FREE_CIRCUITS]) - taken, 0)
+            sent_now = remote.last_sent_width if remote.last_sent_at == now else 0
+            remote.free_circuits = max(int(load[Figure.FREE_CIRCUITS]) - sent_now, 0)
             remote.group_size = load.get(Figure.GROUP_SIZE, remote.group_size)
         share = -1.0
         if load.get(Figure.HOLD_BACK, -1) >= 0:
@@ -329,21 +331,21 @@
     def _on_call_offered(self, event: CallOffered, now: float) -> None:
         service_class = self._class_at(event.call_class)
         first_tried_at = self._estimate_first_try(event, service_class, now)
-        late = now - first_tried_at > service_class.aim_ms
-        worth = service_class.worth * (service_class.late_worth if late else 1.0)
-        for level in self.worth_mix:
-            self.worth_mix[level] *= 1 - WORTH_SMOOTHING
+        past_slo = now - first_tried_at > service_class.aim_ms
+        worth = service_class.worth * (service_class.late_worth if past_slo else 1.0)
+        for other_worth in self.worth_mix:
+            self.worth_mix[other_worth] *= 1 - WORTH_SMOOTHING
         self.worth_mix[worth] = self.worth_mix.get(worth, 0.0) + WORTH_SMOOTHING
         # A hold-back share applies to the quantile: it sheds the calls of least worth first, at random among
         # equals, and in total the fraction of calls that it states.
-        below = sum(part for level, part in self.worth_mix.items() if level < worth)
+        below = sum(fraction for other_worth, fraction in self.worth_mix.items() if other_worth < worth)
         worth_quantile = (below + self.random.random() * self.worth_mix[worth]) / sum(self.worth_mix.values())
         call = self.calls[event.call] = Call(event, now, first_tried_at, service_class.aim_ms, worth_quantile)
         # First tries only, so that the rate is the demand for an exchange, also while it is unavailable.
         if first_tried_at == now:
-            rate, at = self.offered_rates.get(call.number, (0.0, now))
+            rate, updated_at = self.offered_rates.get(call.number, (0.0, now))
             self.offered_rates[call.number] = (
-                rate * 0.5 ** ((now - at) / RATE_HALF_LIFE_MS) + LN2_MS_PER_S / RATE_HALF_LIFE_MS,
+                rate * 0.5 ** ((now - updated_at) / RATE_HALF_LIFE_MS) + LN2_MS_PER_S / RATE_HALF_LIFE_MS,
                 now,
             )
         self._decide(call, now)
@@ -360,8 +362,8 @@
         if event.in_transit:
             return now
         first_tried_at = self.unserved.pop(event.called, float("-inf")) if event.called else float("-inf")
-        for called, at in list(self.unserved.items())[:2]:  # the two oldest, as a call adds at most one
-            if now - at > 2 * service_class.deadline_ms:
+        for called, tried_at in list(self.unserved.items())[:2]:  # the two oldest, as a call adds at most one
+            if now - tried_at > 2 * service_class.deadline_ms:
                 del self.unserved[called]
         if now - first_tried_at < service_class.deadline_ms:
             return first_tried_at
@@ -449,17 +451,17 @@
             return None
         best, best_key = None, (-1, -1.0)
         for remote in self.exchanges.values():
-            room = call.width + (TRUNK_RESERVATION * remote.group_size if has_direct_group else 0)
-            known = (
+            required = call.width + (TRUNK_RESERVATION * remote.group_size if has_direct_group else 0)
+            leg_open = (
                 now - remote.leg_open_at.get(call.number, float("-inf"))
                 < self.mean_hold_ms * OPEN_LEG_LIFETIME
             )
             if remote.number == call.advised or target is not None and remote.number in target.reported_legs:
-                known = True
-            key = (int(known), float(remote.free_circuits))
+                leg_open = True
+            key = (int(leg_open), float(remote.free_circuits))
             if (
                 key > best_key
-                and remote.free_circuits >= room
+                and remote.free_circuits >= required
                 and remote.health is Health.READY
                 and remote.number not in (call.number, self.settings.here)
                 and (self.settings.mesh or not allowed_pools or remote.number in allowed_pools)
@@ -522,8 +524,8 @@
             return False
         if now - target.legs_queried_at >= LEG_REPORT_LIFETIME_MS:
             target.legs_queried_at, target.unanswered_queries = now, target.unanswered_queries + 1
-            slot = self.peer_by_number.get(target.number, target.number)
-            self.actions.append(Tell(slot, struct.pack(">cH", b"?", target.number)))
+            peer = self.peer_by_number.get(target.number, target.number)
+            self.actions.append(Tell(peer, struct.pack(">cH", b"?", target.number)))
         return target.unanswered_queries <= 2 and now - target.legs_queried_at < LEG_QUERY_TIMEOUT_MS
 
     def _on_peer_message(self, sender: int, payload: bytes, now: float) -> None:
@@ -532,12 +534,12 @@
             return
         code, number = struct.unpack_from(">cH", payload)
         if code == b"?" and number == self.settings.here:
-            ready = [
-                f for f in self.by_number.values() if f.group_size > 0 and f.number != self.settings.here
+            groups = [
+                r for r in self.by_number.values() if r.group_size > 0 and r.number != self.settings.here
             ]
-            ready.sort(key=lambda remote: -remote.free_circuits)
+            groups.sort(key=lambda remote: -remote.free_circuits)
             entries = [
-                struct.pack(">HB", f.number, min(f.free_circuits, 255)) for f in ready[:MAX_REPORTED_LEGS]
+                struct.pack(">HB", r.number, min(r.free_circuits, 255)) for r in groups[:MAX_REPORTED_LEGS]
             ]
             self.actions.append(Tell(sender, struct.pack(">cH", b"!", number) + b"".join(entries)))
         elif code == b"!" and len(payload) % 3 == 0 and number in self.by_number:
@@ -556,11 +558,11 @@
         """Set-ups a second that this softswitch may send to a cold processor; 0 when it is not cold."""
         if not self._is_cold(remote, now):
             return 0.0
-        warm = max(now - remote.started_at, 0.0) / self.settings.cold_ms
-        ramp = self.settings.cold_from + (1 - self.settings.cold_from) * warm
+        progress = max(now - remote.started_at, 0.0) / self.settings.cold_ms
+        ramp = self.settings.cold_from + (1 - self.settings.cold_from) * progress
         rate, _ = self.offered_rates.get(remote.number, (0.0, now))
-        least = MIN_COLD_RATE_PER_S / max(self.settings.softswitches, 1)
-        return max(rate, least) * ramp * max(self.settings.fall_multiple * COLD_PACE_SAFETY, 0.5)
+        min_rate = MIN_COLD_RATE_PER_S / max(self.settings.softswitches, 1)
+        return max(rate, min_rate) * ramp * max(self.settings.fall_multiple * COLD_PACE_SAFETY, 0.5)
 
     def _pace_allows(self, remote: RemoteExchange, now: float) -> bool:
         return now >= remote.next_paced_at or not self._is_cold(remote, now)
@@ -587,8 +589,8 @@
         # Latencies that were measured across an own stall say nothing about the exchange.
         if now == self.resumed_at:
             return
-        fresh = now - remote.latency_at < SHARE_LIFETIME_MS
-        remote.latency += (latency_ms - remote.latency) * (LATENCY_SMOOTHING if fresh else 1.0)
+        recent = now - remote.latency_at < SHARE_LIFETIME_MS
+        remote.latency += (latency_ms - remote.latency) * (LATENCY_SMOOTHING if recent else 1.0)
         remote.latency_at = now
         remote.update_window((latency_ms - self.base_latency) / self.wait_unit_ms, latency_ms, now)
         own = self.by_number.get(self.settings.here)
@@ -597,8 +599,8 @@
 
     def _common_wait(self, now: float) -> float:
         """The wait common to recent latencies to all exchanges: the own processor, as it is on every path."""
-        seen = [f.latency for f in self.exchanges.values() if now - f.latency_at < SHARE_LIFETIME_MS / 2]
-        return min(seen) - self.base_latency if len(seen) > 1 else 0.0
+        latencies = [r.latency for r in self.exchanges.values() if now - r.latency_at < SHARE_LIFETIME_MS / 2]
+        return min(latencies) - self.base_latency if len(latencies) > 1 else 0.0
 
     def _on_attempt_ended(self, event: AttemptEnded, now: float) -> None:
         remote = self.exchanges.get(event.exchange)
@@ -613,23 +615,23 @@
     ) -> None:
         """Updates the view of the exchange that a failed attempt went to."""
         self._update_load(remote, event.report, now)
-        sent = remote.pending.pop(event.call, None)
+        sent_at = remote.pending.pop(event.call, None)
         direct = call is None or call.number == remote.number
-        full = event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.TURNED_BACK
-        late = full or event.ending is Ending.TIMED_OUT
-        if late and direct:  # the wait would have been at least this long
-            waited = max(
+        processor_full = event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.TURNED_BACK
+        overloaded = processor_full or event.ending is Ending.TIMED_OUT
+        if overloaded and direct:  # the wait would have been at least this long
+            min_latency = max(
                 event.latency_ms, remote.latency, self.base_latency + SHED_FULL_WAIT * self.wait_unit_ms
             )
-            self._update_latency(remote, waited, now)
+            self._update_latency(remote, min_latency, now)
         if remote.recovery_probe == event.call:
             remote.recovery_probe = None
-        broken = event.ending in (Ending.UNREACHABLE, Ending.CUT)
-        failed = broken and sent is not None and remote.last_answer_at < sent
+        connection_lost = event.ending in (Ending.UNREACHABLE, Ending.CUT)
+        failed = connection_lost and sent_at is not None and remote.last_answer_at < sent_at
         if failed or remote.failed and event.ending is Ending.TIMED_OUT:
             if direct or event.ending is not Ending.CUT:
                 remote.mark_failed(now, self.wait_unit_ms)
-        elif event.ending is Ending.TURNED_BACK and not late or event.ending is Ending.ERROR:
+        elif event.ending is Ending.TURNED_BACK and not overloaded or event.ending is Ending.ERROR:
             # The end of an established call does not show that the exchange works, nor does a full processor.
             remote.mark_answered(now)
 
@@ -650,12 +652,12 @@
             call.tried_exchanges.append(event.exchange)
         if event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.NOT_SENT:
             self.own_down_until = now + 2 * self.wait_unit_ms  # all calls wait for the own processor
-        hopeless = event.ending is not Ending.NOT_SENT and event.reason in (
+        not_retryable = event.ending is not Ending.NOT_SENT and event.reason in (
             Reason.LINES_BUSY,
             Reason.PROCESSOR_FULL,
             Reason.TANDEM_FAR_FULL,
         )
-        if hopeless or self._unrepeatable(call) or call.transit:
+        if not_retryable or self._unrepeatable(call) or call.transit:
             self._refuse(call)
         else:
             self._decide(call, now)
@@ -687,20 +689,20 @@
 
     def _retry_queued(self, now: float, number: int | None = None) -> None:
         """Decides again on queued calls: those for one exchange after it changed, all of them at a tick."""
-        held = [c for c in self.calls.values() if c.pending_exchange is None and number in (None, c.number)]
-        for call in held:
+        queued = [c for c in self.calls.values() if c.pending_exchange is None and number in (None, c.number)]
+        for call in queued:
             self._decide(call, now)
 
     def _on_tick(self, now: float) -> None:
         if self.list_request_at is not None and now > self.list_request_at:
             self._request_list()
         if self.settings.may_probe and self.settings.reports is not Reports.NONE:
-            pull = self.settings.reports is Reports.WHEN_PROBED
+            probes_only = self.settings.reports is Reports.WHEN_PROBED
             for remote in self.exchanges.values():
-                own = remote.number == self.settings.here  # no other softswitch probes it
-                every = PROBE_INTERVAL_MS if own else self.probe_interval_ms
-                used = own or pull and now - remote.last_sent_at < 2 * every
-                if remote.health is Health.READY and used and now - remote.probed_at >= every:
+                is_own = remote.number == self.settings.here  # no other softswitch probes it
+                interval = PROBE_INTERVAL_MS if is_own else self.probe_interval_ms
+                in_use = is_own or probes_only and now - remote.last_sent_at < 2 * interval
+                if remote.health is Health.READY and in_use and now - remote.probed_at >= interval:
                     remote.probed_at = now
                     self.actions.append(Probe(remote.exchange))
         self._retry_queued(now)
