--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -15,31 +15,31 @@
 from badgerstile.interface import (
     Action,
     AttemptEnded,
+    AttemptOutcome,
+    CallAbandoned,
     CallClass,
-    CallerLeft,
+    CallEstablished,
     CallOffered,
-    CallStands,
-    Ending,
     Event,
+    ExchangeEntry,
     ExchangeList,
-    Figure,
-    FollowList,
-    GiveUp,
+    FailCall,
     Health,
-    Listed,
     ListKind,
+    LoadField,
+    LoadReporting,
     PeerMessage,
     Probe,
-    Reason,
     Refuse,
-    Repeat,
+    RejectionReason,
     Report,
-    Reports,
+    RetryPolicy,
+    SendPeerMessage,
+    SetTimer,
     Settings,
     SetUp,
-    Tell,
-    WakeAt,
-    Woken,
+    TimerFired,
+    WatchList,
 )
 
 # A wait unit is Softswitch.wait_unit_ms: the time to a retransmission, at most a third of the shortest slo.
@@ -69,7 +69,7 @@
 TANDEM_ADMISSION_FACTOR, TANDEM_SUCCESS_SMOOTHING = 1.5, 0.04
 OPEN_LEG_LIFETIME = 0.5  # of a mean holding time: how long a second leg that carried a call counts as open
 TANDEM_BACKOFF = (0.2, 1.6)  # shortest and longest, in mean holding times, after it rejected a call
-LEG_REPORT_LIFETIME_MS = 3000.0  # how long an exchange's report of its free circuits is used
+LEGS_LIFETIME_MS = 3000.0  # how long an exchange's report of its free circuits is used
 LEG_QUERY_TIMEOUT_MS = 100.0  # wait of a blocked call for such a report; messages take a fraction of it
 MAX_REPORTED_LEGS = 60  # groups in one report, so that it fits a message of 256 bytes
 MIN_RESTART_MS = 2000.0  # no restart is faster: an exchange that answered since was only unreachable
@@ -80,12 +80,12 @@
 class RemoteExchange:
     """One exchange as seen from here, the own one too: list entry, circuits, hold-back shares, failures."""
 
-    def __init__(self, entry: Listed) -> None:
+    def __init__(self, entry: ExchangeEntry) -> None:
         self.exchange = entry.exchange
         self.number = entry.number
         self.health = entry.health
         self.started_at = 0.0
-        self.free_circuits, self.group_size = -1, 0.0
+        self.free_circuits, self.circuits = -1, 0.0  # of its trunk group; negative: not reported
         self.reported_share, self.share_reported_at = 0.0, float("-inf")
         self.latency, self.latency_at = 0.0, float("-inf")
         self.pending: dict[int, float] = {}
@@ -98,8 +98,8 @@
         self.window, self.halved_at, self.window_opens_at = INITIAL_WINDOW, float("-inf"), float("-inf")
         self.tandem_backoff: dict[int, tuple[float, float]] = {}
         self.leg_open_at: dict[int, float] = {}
-        self.reported_legs: dict[int, int] = {}  # its own trunk groups: far number to free circuits
-        self.legs_reported_at = self.legs_queried_at = float("-inf")
+        self.legs: dict[int, int] = {}  # its own trunk groups: far number to free circuits
+        self.legs_at = self.legs_queried_at = float("-inf")
         self.unanswered_queries = 0
         self.last_sent_at, self.last_sent_width = float("-inf"), 0
 
@@ -159,20 +159,20 @@
     )  # fmt: skip
 
     def __init__(
-        self, event: CallOffered, now: float, first_tried_at: float, aim_ms: float, worth_quantile: float
+        self, event: CallOffered, now: float, first_tried_at: float, slo_ms: float, worth_quantile: float
     ) -> None:
-        self.called, self.first_tried_at = event.called, first_tried_at
+        self.called, self.first_tried_at = event.called_number, first_tried_at
         self.id = event.call
         self.number = event.destination
         self.class_index = event.call_class
         self.width = event.width
         self.transit = event.in_transit
-        self.advised = -1 if event.in_transit else event.advised
+        self.advised = -1 if event.in_transit else event.advised_number
         self.worth_quantile = worth_quantile
         self.answer_by = now + event.budget_ms - ANSWER_MARGIN_MS
-        past_slo = now - first_tried_at > aim_ms
+        past_slo = now - first_tried_at > slo_ms
         self.queued_since = now if past_slo else first_tried_at
-        self.slo_at = min(self.queued_since + aim_ms, self.answer_by - TICK_MS)
+        self.slo_at = min(self.queued_since + slo_ms, self.answer_by - TICK_MS)
         self.not_before = now
         self.attempts = 0
         self.pending_exchange: bytes | None = None
@@ -199,15 +199,15 @@
         self.offered_rates: dict[int, tuple[float, float]] = {}
         self.started = False
         self.list_request_at: float | None = None
-        self.list_retry_ms = settings.ask_within_ms / 16
-        aim_ms = min(c.aim_ms for c in settings.classes)
-        self.base_latency = aim_ms
-        self.wait_unit_ms = min(settings.retransmit_ms or aim_ms, aim_ms / 3)
+        self.list_retry_ms = settings.list_request_within_ms / 16
+        slo_ms = min(c.slo_ms for c in settings.classes)
+        self.base_latency = slo_ms
+        self.wait_unit_ms = min(settings.retransmit_ms or slo_ms, slo_ms / 3)
         self.worth_mix: dict[float, float] = {}  # worth to its fraction of recently offered calls
         self.unserved: dict[int, float] = {}  # called number to the first try of its failed call
         self.own_down_until = float("-inf")
-        self.mean_hold_ms = max((c.hold_ms for c in settings.classes), default=0.0) or 10 * aim_ms
-        self.probe_interval_ms = PROBE_INTERVAL_MS * max(settings.softswitches / MAX_PROBERS, 1.0)
+        self.mean_hold_ms = max((c.mean_hold_ms for c in settings.classes), default=0.0) or 10 * slo_ms
+        self.probe_interval_ms = PROBE_INTERVAL_MS * max(settings.softswitch_count / MAX_PROBERS, 1.0)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Processes one event and returns the actions that follow from it."""
@@ -222,26 +222,26 @@
                 self._update_list(event, now)
             case CallOffered():
                 self._on_call_offered(event, now)
-            case CallStands():
+            case CallEstablished():
                 self._on_call_established(event, now)
             case AttemptEnded():
                 self._on_attempt_ended(event, now)
-            case CallerLeft(name):
-                call = self.calls.pop(name, None)
+            case CallAbandoned(call_id):
+                call = self.calls.pop(call_id, None)
                 if call is not None:
                     self._remember_unserved(call)
             case Report():
                 self._on_report(event, now)
             case PeerMessage(sender, payload):
                 self._on_peer_message(sender, payload, now)
-            case Woken():
+            case TimerFired():
                 self.timer_set = False
                 self._on_tick(now)
             case _:
                 pass
         if not self.timer_set:
             self.timer_set, self.timer_due_at = True, now + TICK_MS
-            self.actions.append(WakeAt(now + TICK_MS, 0))
+            self.actions.append(SetTimer(now + TICK_MS, 0))
         return self.actions
 
     # --- the list of exchanges ---
@@ -249,7 +249,7 @@
     def _request_list(self) -> None:
         self.list_request_at = None
         if self.settings.list_on_request:
-            self.actions.append(FollowList())  # always answered, with a list or a failure
+            self.actions.append(WatchList())  # always answered, with a list or a failure
 
     def _update_list(self, event: ExchangeList, now: float) -> None:
         if event.kind is ListKind.FAILED:
@@ -260,23 +260,19 @@
             if remote is None:
                 remote = self.exchanges[entry.exchange] = RemoteExchange(entry)
             remote.number, remote.health = entry.number, entry.health
-            if entry.came_up_ms > remote.started_at:
-                remote.started_at = entry.came_up_ms
+            if entry.started_ms > remote.started_at:
+                remote.started_at = entry.started_ms
                 # All softswitches learn of it at once: their first set-ups are spread at random.
                 if self._is_cold(remote, now):
                     remote.next_paced_at = (
-                        now + self.random.random() * COLD_START_SPREAD * self.settings.classes[0].aim_ms
+                        now + self.random.random() * COLD_START_SPREAD * self.settings.classes[0].slo_ms
                     )
         if event.kind is not ListKind.CHANGES:
             listed = {entry.exchange for entry in event.entries}
             for exchange, remote in self.exchanges.items():
                 if exchange not in listed:
-                    remote.health = Health.GONE
-        gone = [
-            remote
-            for remote in self.exchanges.values()
-            if remote.health is Health.GONE and not remote.pending
-        ]
+                    remote.health = Health.REMOVED
+        gone = [r for r in self.exchanges.values() if r.health is Health.REMOVED and not r.pending]
         for remote in gone[:-MAX_GONE_EXCHANGES]:  # the oldest entries
             del self.exchanges[remote.exchange]
         self._index_by_number()
@@ -292,19 +288,21 @@
 
     # --- shares ---
 
-    def _update_load(self, remote: RemoteExchange, figures: tuple[float, ...], now: float) -> None:
-        load = dict(zip(self.settings.figures, figures, strict=False))
-        if load.get(Figure.FREE_CIRCUITS, -1) >= 0:
+    def _update_load(self, remote: RemoteExchange, load_values: tuple[float, ...], now: float) -> None:
+        load = dict(zip(self.settings.load_fields, load_values, strict=False))
+        if load.get(LoadField.FREE_CIRCUITS, -1) >= 0:
             # Set-ups sent at this very time are not yet part of the reported value.
             sent_now = remote.last_sent_width if remote.last_sent_at == now else 0
-            remote.free_circuits = max(int(load[Figure.FREE_CIRCUITS]) - sent_now, 0)
-            remote.group_size = load.get(Figure.GROUP_SIZE, remote.group_size)
+            remote.free_circuits = max(int(load[LoadField.FREE_CIRCUITS]) - sent_now, 0)
+            remote.circuits = load.get(LoadField.GROUP_SIZE, remote.circuits)
         share = -1.0
-        if load.get(Figure.HOLD_BACK, -1) >= 0:
-            share = load[Figure.HOLD_BACK]
-        wait = max(load.get(Figure.WAIT_MS, -1.0), load.get(Figure.QUEUE, -1.0) * self.wait_unit_ms / 10)
+        if load.get(LoadField.HOLD_BACK, -1) >= 0:
+            share = load[LoadField.HOLD_BACK]
+        wait = max(
+            load.get(LoadField.WAIT_MS, -1.0), load.get(LoadField.QUEUE_LENGTH, -1.0) * self.wait_unit_ms / 10
+        )
         if wait >= 0:
-            share = max(share, self._share_for_wait(wait))
+            share = max(share, self._share_of_wait(wait))
             self._adapt_share(remote, wait, now)
         if share >= 0:
             remote.reported_share, remote.share_reported_at = min(share, 1.0), now
@@ -312,7 +310,7 @@
     def _adapt_share(self, remote: RemoteExchange, wait_ms: float, now: float) -> None:
         remote.adapt_share(wait_ms / (TARGET_WAIT * self.wait_unit_ms), now)
 
-    def _share_for_wait(self, wait_ms: float) -> float:
+    def _share_of_wait(self, wait_ms: float) -> float:
         low, high = SHED_START_WAIT * self.wait_unit_ms, SHED_FULL_WAIT * self.wait_unit_ms
         return min(max((wait_ms - low) / (high - low), 0.0), 1.0)
 
@@ -323,7 +321,10 @@
 
     def _own_share(self, now: float) -> float:
         """The hold-back share of the own processor (on every path), from probes and from the common wait."""
-        own, share = self.by_number.get(self.settings.here), self._share_for_wait(self._common_wait(now))
+        own, share = (
+            self.by_number.get(self.settings.own_number),
+            self._share_of_wait(self._common_wait(now)),
+        )
         return min(max(share, self._share_to(own, now) if own is not None else 0.0), 1 - MIN_ADMITTED)
 
     # --- a call ---
@@ -331,7 +332,7 @@
     def _on_call_offered(self, event: CallOffered, now: float) -> None:
         service_class = self._class_at(event.call_class)
         first_tried_at = self._estimate_first_try(event, service_class, now)
-        past_slo = now - first_tried_at > service_class.aim_ms
+        past_slo = now - first_tried_at > service_class.slo_ms
         worth = service_class.worth * (service_class.late_worth if past_slo else 1.0)
         for other_worth in self.worth_mix:
             self.worth_mix[other_worth] *= 1 - WORTH_SMOOTHING
@@ -340,7 +341,7 @@
         # equals, and in total the fraction of calls that it states.
         below = sum(fraction for other_worth, fraction in self.worth_mix.items() if other_worth < worth)
         worth_quantile = (below + self.random.random() * self.worth_mix[worth]) / sum(self.worth_mix.values())
-        call = self.calls[event.call] = Call(event, now, first_tried_at, service_class.aim_ms, worth_quantile)
+        call = self.calls[event.call] = Call(event, now, first_tried_at, service_class.slo_ms, worth_quantile)
         # First tries only, so that the rate is the demand for an exchange, also while it is unavailable.
         if first_tried_at == now:
             rate, updated_at = self.offered_rates.get(call.number, (0.0, now))
@@ -361,14 +362,16 @@
         """
         if event.in_transit:
             return now
-        first_tried_at = self.unserved.pop(event.called, float("-inf")) if event.called else float("-inf")
+        first_tried_at = (
+            self.unserved.pop(event.called_number, float("-inf")) if event.called_number else float("-inf")
+        )
         for called, tried_at in list(self.unserved.items())[:2]:  # the two oldest, as a call adds at most one
             if now - tried_at > 2 * service_class.deadline_ms:
                 del self.unserved[called]
         if now - first_tried_at < service_class.deadline_ms:
             return first_tried_at
-        if event.redialled:
-            return now - 2 * service_class.aim_ms
+        if event.is_redial:
+            return now - 2 * service_class.slo_ms
         usual_budget, votes = self.usual_budget.get(event.call_class, (event.budget_ms, 0))
         # The call waited during the stall of this softswitch, by as much as its budget is shorter than usual.
         if now == self.resumed_at:
@@ -398,7 +401,7 @@
 
     def _select_route(self, call: Call, now: float) -> RemoteExchange | None:
         remote = self.by_number.get(call.number)
-        if call.number == self.settings.here:
+        if call.number == self.settings.own_number:
             # Handed over while the own exchange of the caller starts: no trunk group leads to the own number,
             # but two legs over a tandem do.
             blocked = call.transit or now < self.own_down_until
@@ -408,7 +411,7 @@
                 remote is None
                 or call.attempts
                 or not remote.has_room(call.width)
-                or self._unavailable(remote, now)
+                or self._paused(remote, now)
             ):
                 return None
             return remote
@@ -422,7 +425,7 @@
             and now - remote.latency_at < SHARE_LIFETIME_MS
         ):
             return None  # too late: it would be established after its slo
-        if not self._unavailable(remote, now) and remote.window_open(now):
+        if not self._paused(remote, now) and remote.window_open(now):
             eligible = self.settings.mesh or remote.number in (
                 self._class_at(call.class_index).pools or (remote.number,)
             )
@@ -441,42 +444,38 @@
         goes first. Calls that overflow from a direct trunk group leave the trunk reservation free.
         """
         allowed_pools = self._class_at(call.class_index).pools
-        has_direct_group = self.settings.mesh and target is not None and target.group_size > 0
-        reported_legs = (
-            target.reported_legs
-            if target is not None and now - target.legs_reported_at < LEG_REPORT_LIFETIME_MS
-            else None
-        )
+        has_direct_group = self.settings.mesh and target is not None and target.circuits > 0
+        legs = target.legs if target is not None and now - target.legs_at < LEGS_LIFETIME_MS else None
         if self.settings.mesh and call.worth_quantile < 1 - TANDEM_ADMISSION_FACTOR * self.tandem_success:
             return None
         best, best_key = None, (-1, -1.0)
         for remote in self.exchanges.values():
-            required = call.width + (TRUNK_RESERVATION * remote.group_size if has_direct_group else 0)
+            required = call.width + (TRUNK_RESERVATION * remote.circuits if has_direct_group else 0)
             leg_open = (
                 now - remote.leg_open_at.get(call.number, float("-inf"))
                 < self.mean_hold_ms * OPEN_LEG_LIFETIME
             )
-            if remote.number == call.advised or target is not None and remote.number in target.reported_legs:
+            if remote.number == call.advised or target is not None and remote.number in target.legs:
                 leg_open = True
             key = (int(leg_open), float(remote.free_circuits))
             if (
                 key > best_key
                 and remote.free_circuits >= required
                 and remote.health is Health.READY
-                and remote.number not in (call.number, self.settings.here)
+                and remote.number not in (call.number, self.settings.own_number)
                 and (self.settings.mesh or not allowed_pools or remote.number in allowed_pools)
                 and remote.exchange not in call.tried_exchanges
-                and (reported_legs is None or reported_legs.get(remote.number, 0) >= call.width)
+                and (legs is None or legs.get(remote.number, 0) >= call.width)
                 and now >= remote.tandem_backoff.get(call.number, (now, 0.0))[0]
                 and call.worth_quantile >= self._share_to(remote, now)
                 and remote.window_open(now)
                 and not self._is_cold(remote, now)
-                and not self._unavailable(remote, now)
+                and not self._paused(remote, now)
             ):
                 best, best_key = remote, key
         return best
 
-    def _unavailable(self, remote: RemoteExchange, now: float) -> bool:
+    def _paused(self, remote: RemoteExchange, now: float) -> bool:
         return self._awaits_recovery(remote, now) or not self._pace_allows(remote, now)
 
     def _awaits_recovery(self, remote: RemoteExchange, now: float) -> bool:
@@ -506,12 +505,12 @@
     def _refuse(self, call: Call) -> None:
         del self.calls[call.id]
         self._remember_unserved(call)
-        advice = self.settings.max_retry_advice_ms if self.settings.retry_advice else 0.0
-        self.actions.append(GiveUp(call.id, advice) if self._unrepeatable(call) else Refuse(call.id, advice))
+        advice = self.settings.max_retry_after_ms if self.settings.sends_retry_after else 0.0
+        self.actions.append(FailCall(call.id, advice) if self._no_repeat(call) else Refuse(call.id, advice))
 
-    def _unrepeatable(self, call: Call) -> bool:
+    def _no_repeat(self, call: Call) -> bool:
         """Whether the call may have run already and its class forbids to run it twice."""
-        return call.may_have_run and self._class_at(call.class_index).repeat is not Repeat.FREE
+        return call.may_have_run and self._class_at(call.class_index).retry_policy is not RetryPolicy.FREE
 
     # --- peer messages: free circuits of second legs, which only the destination knows ---
 
@@ -520,56 +519,56 @@
 
         The answer is optional: after two queries without an answer no call waits for the next one.
         """
-        if not self.settings.may_message or now - target.legs_reported_at < LEG_REPORT_LIFETIME_MS:
+        if not self.settings.may_message or now - target.legs_at < LEGS_LIFETIME_MS:
             return False
-        if now - target.legs_queried_at >= LEG_REPORT_LIFETIME_MS:
+        if now - target.legs_queried_at >= LEGS_LIFETIME_MS:
             target.legs_queried_at, target.unanswered_queries = now, target.unanswered_queries + 1
             peer = self.peer_by_number.get(target.number, target.number)
-            self.actions.append(Tell(peer, struct.pack(">cH", b"?", target.number)))
+            self.actions.append(SendPeerMessage(peer, struct.pack(">cH", b"?", target.number)))
         return target.unanswered_queries <= 2 and now - target.legs_queried_at < LEG_QUERY_TIMEOUT_MS
 
     def _on_peer_message(self, sender: int, payload: bytes, now: float) -> None:
         """Handles a query (?) or a report (!) of free circuits; ignores anything else and unknown senders."""
-        if not self.settings.may_message or sender >= self.settings.softswitches or len(payload) < 3:
+        if not self.settings.may_message or sender >= self.settings.softswitch_count or len(payload) < 3:
             return
         code, number = struct.unpack_from(">cH", payload)
-        if code == b"?" and number == self.settings.here:
+        if code == b"?" and number == self.settings.own_number:
             groups = [
-                r for r in self.by_number.values() if r.group_size > 0 and r.number != self.settings.here
+                r for r in self.by_number.values() if r.circuits > 0 and r.number != self.settings.own_number
             ]
             groups.sort(key=lambda remote: -remote.free_circuits)
             entries = [
                 struct.pack(">HB", r.number, min(r.free_circuits, 255)) for r in groups[:MAX_REPORTED_LEGS]
             ]
-            self.actions.append(Tell(sender, struct.pack(">cH", b"!", number) + b"".join(entries)))
+            self.actions.append(SendPeerMessage(sender, struct.pack(">cH", b"!", number) + b"".join(entries)))
         elif code == b"!" and len(payload) % 3 == 0 and number in self.by_number:
             remote = self.by_number[number]
-            remote.reported_legs = dict(struct.iter_unpack(">HB", payload[3:]))
-            remote.legs_reported_at, remote.unanswered_queries = now, 0
+            remote.legs = dict(struct.iter_unpack(">HB", payload[3:]))
+            remote.legs_at, remote.unanswered_queries = now, 0
             self.peer_by_number[number] = sender
             self._retry_queued(now, number)
 
     # --- cold processors ---
 
     def _is_cold(self, remote: RemoteExchange, now: float) -> bool:
-        return remote.started_at > 0 and now - remote.started_at < self.settings.cold_ms
+        return remote.started_at > 0 and now - remote.started_at < self.settings.cold_ramp_ms
 
     def _cold_pace(self, remote: RemoteExchange, now: float) -> float:
         """Set-ups a second that this softswitch may send to a cold processor; 0 when it is not cold."""
         if not self._is_cold(remote, now):
             return 0.0
-        progress = max(now - remote.started_at, 0.0) / self.settings.cold_ms
-        ramp = self.settings.cold_from + (1 - self.settings.cold_from) * progress
+        progress = max(now - remote.started_at, 0.0) / self.settings.cold_ramp_ms
+        ramp = self.settings.cold_initial_share + (1 - self.settings.cold_initial_share) * progress
         rate, _ = self.offered_rates.get(remote.number, (0.0, now))
-        min_rate = MIN_COLD_RATE_PER_S / max(self.settings.softswitches, 1)
-        return max(rate, min_rate) * ramp * max(self.settings.fall_multiple * COLD_PACE_SAFETY, 0.5)
+        min_rate = MIN_COLD_RATE_PER_S / max(self.settings.softswitch_count, 1)
+        return max(rate, min_rate) * ramp * max(self.settings.overload_multiple * COLD_PACE_SAFETY, 0.5)
 
     def _pace_allows(self, remote: RemoteExchange, now: float) -> bool:
         return now >= remote.next_paced_at or not self._is_cold(remote, now)
 
     # --- outcomes of attempts, and load reports ---
 
-    def _on_call_established(self, event: CallStands, now: float) -> None:
+    def _on_call_established(self, event: CallEstablished, now: float) -> None:
         call = self.calls.pop(event.call, None)
         remote = self.exchanges.get(event.exchange)
         if remote is None:
@@ -593,7 +592,7 @@
         remote.latency += (latency_ms - remote.latency) * (LATENCY_SMOOTHING if recent else 1.0)
         remote.latency_at = now
         remote.update_window((latency_ms - self.base_latency) / self.wait_unit_ms, latency_ms, now)
-        own = self.by_number.get(self.settings.here)
+        own = self.by_number.get(self.settings.own_number)
         if own is not None:
             self._adapt_share(own, self._common_wait(now) / 2, now)
 
@@ -606,19 +605,21 @@
         remote = self.exchanges.get(event.exchange)
         call = self.calls.get(event.call)
         if remote is not None:
-            self._note_outcome(remote, call, event, now)
+            self._note_result(remote, call, event, now)
         if call is not None:
             self._next_step(remote, call, event, now)
 
-    def _note_outcome(
+    def _note_result(
         self, remote: RemoteExchange, call: Call | None, event: AttemptEnded, now: float
     ) -> None:
         """Updates the view of the exchange that a failed attempt went to."""
-        self._update_load(remote, event.report, now)
+        self._update_load(remote, event.load_values, now)
         sent_at = remote.pending.pop(event.call, None)
         direct = call is None or call.number == remote.number
-        processor_full = event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.TURNED_BACK
-        overloaded = processor_full or event.ending is Ending.TIMED_OUT
+        processor_full = (
+            event.reason is RejectionReason.PROCESSOR_FULL and event.outcome is AttemptOutcome.TURNED_BACK
+        )
+        overloaded = processor_full or event.outcome is AttemptOutcome.TIMED_OUT
         if overloaded and direct:  # the wait would have been at least this long
             min_latency = max(
                 event.latency_ms, remote.latency, self.base_latency + SHED_FULL_WAIT * self.wait_unit_ms
@@ -626,38 +627,42 @@
             self._update_latency(remote, min_latency, now)
         if remote.recovery_probe == event.call:
             remote.recovery_probe = None
-        connection_lost = event.ending in (Ending.UNREACHABLE, Ending.CUT)
+        connection_lost = event.outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.CUT)
         failed = connection_lost and sent_at is not None and remote.last_answer_at < sent_at
-        if failed or remote.failed and event.ending is Ending.TIMED_OUT:
-            if direct or event.ending is not Ending.CUT:
+        if failed or remote.failed and event.outcome is AttemptOutcome.TIMED_OUT:
+            if direct or event.outcome is not AttemptOutcome.CUT:
                 remote.mark_failed(now, self.wait_unit_ms)
-        elif event.ending is Ending.TURNED_BACK and not overloaded or event.ending is Ending.ERROR:
+        elif (
+            event.outcome is AttemptOutcome.TURNED_BACK
+            and not overloaded
+            or event.outcome is AttemptOutcome.ERROR
+        ):
             # The end of an established call does not show that the exchange works, nor does a full processor.
             remote.mark_answered(now)
 
     def _next_step(self, remote: RemoteExchange | None, call: Call, event: AttemptEnded, now: float) -> None:
         """Concludes the call, tries it again once its attempt is released, or refuses it."""
         call.pending_exchange = None
-        if event.over:
+        if event.call_ended:
             del self.calls[call.id]
             self._remember_unserved(call)
             return
-        if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
-            call.not_before = now + self.settings.release_ms
-        if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED, Ending.ERROR):
+        if event.outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
+            call.not_before = now + self.settings.release_wait_ms
+        if event.outcome in (
+            AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED, AttemptOutcome.ERROR
+        ):  # fmt: skip
             call.may_have_run = True
         if remote is not None and remote.number != call.number:
             self._back_off_tandem(remote, call, now)
-        elif event.reason is Reason.NO_CIRCUIT and event.ending is not Ending.NOT_SENT:
+        elif event.reason is RejectionReason.NO_CIRCUIT and event.outcome is not AttemptOutcome.NOT_SENT:
             call.tried_exchanges.append(event.exchange)
-        if event.reason is Reason.PROCESSOR_FULL and event.ending is Ending.NOT_SENT:
+        if event.reason is RejectionReason.PROCESSOR_FULL and event.outcome is AttemptOutcome.NOT_SENT:
             self.own_down_until = now + 2 * self.wait_unit_ms  # all calls wait for the own processor
-        not_retryable = event.ending is not Ending.NOT_SENT and event.reason in (
-            Reason.LINES_BUSY,
-            Reason.PROCESSOR_FULL,
-            Reason.TANDEM_FAR_FULL,
-        )
-        if not_retryable or self._unrepeatable(call) or call.transit:
+        not_retryable = event.outcome is not AttemptOutcome.NOT_SENT and event.reason in (
+            RejectionReason.LINES_BUSY, RejectionReason.PROCESSOR_FULL, RejectionReason.TANDEM_FAR_FULL
+        )  # fmt: skip
+        if not_retryable or self._no_repeat(call) or call.transit:
             self._refuse(call)
         else:
             self._decide(call, now)
@@ -676,13 +681,13 @@
         if remote is None:
             return
         # A probe waits in the same queue as set-ups: its latency or failure shows the load of the processor.
-        if event.asked:
+        if event.probed:
             self._adapt_share(
-                remote, event.latency_ms if event.well else FAILED_PROBE_WAIT * self.wait_unit_ms, now
+                remote, event.latency_ms if event.succeeded else FAILED_PROBE_WAIT * self.wait_unit_ms, now
             )
-        if event.well:
-            self._update_load(remote, event.figures, now)
-            if not event.asked:
+        if event.succeeded:
+            self._update_load(remote, event.load_values, now)
+            if not event.probed:
                 self._retry_queued(now, remote.number)
 
     # --- timers ---
@@ -696,10 +701,10 @@
     def _on_tick(self, now: float) -> None:
         if self.list_request_at is not None and now > self.list_request_at:
             self._request_list()
-        if self.settings.may_probe and self.settings.reports is not Reports.NONE:
-            probes_only = self.settings.reports is Reports.WHEN_PROBED
+        if self.settings.may_probe and self.settings.load_reporting is not LoadReporting.NONE:
+            probes_only = self.settings.load_reporting is LoadReporting.WHEN_PROBED
             for remote in self.exchanges.values():
-                is_own = remote.number == self.settings.here  # no other softswitch probes it
+                is_own = remote.number == self.settings.own_number  # no other softswitch probes it
                 interval = PROBE_INTERVAL_MS if is_own else self.probe_interval_ms
                 in_use = is_own or probes_only and now - remote.last_sent_at < 2 * interval
                 if remote.health is Health.READY and in_use and now - remote.probed_at >= interval:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,27 +10,27 @@
 
 from badgerstile.interface import (
     AttemptEnded,
-    CallerLeft,
+    AttemptOutcome,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
-    CallStands,
-    Ending,
     ExchangeList,
-    Figure,
-    FollowList,
-    GiveUp,
+    FailCall,
     Health,
     ListKind,
+    LoadField,
+    LoadReporting,
     PeerMessage,
     Probe,
-    Reason,
     Refuse,
-    Repeat,
+    RejectionReason,
     Report,
-    Reports,
+    RetryPolicy,
+    SendPeerMessage,
+    SetTimer,
     SetUp,
-    Tell,
-    WakeAt,
-    Woken,
+    TimerFired,
+    WatchList,
 )
 from tests.helpers import EVEN, SETTINGS, Stage, exchange, line
 
@@ -55,9 +55,9 @@
             for action in actions:
                 if isinstance(action, SetUp):
                     admitted[action.exchange[3]] += 1
-                    stage.give(CallStands(call, action.exchange, 0, 50.0))
+                    stage.give(CallEstablished(call, action.exchange, 0, 50.0))
             if index % 20 == 0:
-                stage.give(CallerLeft(call))
+                stage.give(CallAbandoned(call))
             stage.circuits(first_choice, 90, {1: 0.1, 2: 0.2, 3: 0.4}[first_choice])
             if first_choice != 1 and two_tandems:
                 stage.circuits(1, 40, 0.1)
@@ -105,7 +105,7 @@
     calls = []
     for _ in range(20):
         call, _ = stage.call(2, transit=True)
-        stage.give(CallStands(call, exchange(2), 0, 50.0))
+        stage.give(CallEstablished(call, exchange(2), 0, 50.0))
         calls.append(call)
     assert all(len(stage.sent(c)) == 1 for c in calls)
 
@@ -115,7 +115,7 @@
     call, _ = stage.call(1, budget=900.0)
     offered_at = stage.now
     for _ in range(40):
-        stage.give(Woken(0), 25.0)
+        stage.give(TimerFired(0), 25.0)
     assert stage.answers(call) == 1
     (refused_at,) = (t for t, a in stage.done if isinstance(a, Refuse) and a.call == call)
     assert refused_at <= offered_at + 900.0
@@ -126,7 +126,7 @@
 def test_rule_one_a_call_for_the_own_number_is_answered_once_and_never_sent_to_the_own_exchange() -> None:
     stage = Stage(free=0)
     call, _ = stage.call(0)
-    stage.give(Woken(0), 4000.0)
+    stage.give(TimerFired(0), 4000.0)
     assert stage.answers(call) == 1 and not stage.sent(call)
 
 
@@ -135,11 +135,11 @@
     call, _ = stage.call(1)
     for n in (1, 2, 3, 4):
         stage.circuits(n, 90)
-        stage.give(Woken(0), 100.0)
+        stage.give(TimerFired(0), 100.0)
     assert len(stage.sent(call)) == 1
 
 
-@pytest.mark.parametrize("health", [Health.DRAINING, Health.GONE])
+@pytest.mark.parametrize("health", [Health.DRAINING, Health.REMOVED])
 def test_rule_three_no_set_up_goes_to_a_leaving_exchange(health: Health) -> None:
     stage = Stage()
     stage.give(ExchangeList(ListKind.CHANGES, (line(1, health),)))
@@ -149,7 +149,7 @@
 
 def test_rule_three_an_exchange_missing_from_a_whole_list_is_gone() -> None:
     stage = Stage()
-    stage.give(ExchangeList(ListKind.WHOLE, tuple(line(n) for n in (0, 2, 3, 4))))
+    stage.give(ExchangeList(ListKind.FULL, tuple(line(n) for n in (0, 2, 3, 4))))
     call, _ = stage.call(1)
     assert not stage.sent(call)
 
@@ -170,29 +170,33 @@
     stage.circuits(2, 90)
     call, _ = stage.call(1)
     assert stage.sent(call) == [exchange(2)]
-    stage.give(AttemptEnded(call, exchange(2), 0, Ending.CUT, False, 100.0), 100.0)
+    stage.give(AttemptEnded(call, exchange(2), 0, AttemptOutcome.CUT, False, 100.0), 100.0)
     ended_at = stage.now
     for _ in range(30):
         stage.circuits(3, 90)
-        stage.give(Woken(0), 50.0)
+        stage.give(TimerFired(0), 50.0)
     sent_at = [t for t, a in stage.done if isinstance(a, SetUp) and a.call == call]
-    assert len(sent_at) == 2 and sent_at[1] >= ended_at + SETTINGS.release_ms
+    assert len(sent_at) == 2 and sent_at[1] >= ended_at + SETTINGS.release_wait_ms
 
 
 def test_a_call_is_answered_when_its_attempts_are_used_up() -> None:
     stage = Stage(replace(SETTINGS, max_attempts=2))
     call, _ = stage.call(1)
     for attempt in range(2):
-        stage.give(AttemptEnded(call, exchange(1), attempt, Ending.NOT_SENT, False, 0.0, Reason.NO_CIRCUIT))
+        stage.give(
+            AttemptEnded(
+                call, exchange(1), attempt, AttemptOutcome.NOT_SENT, False, 0.0, RejectionReason.NO_CIRCUIT
+            )
+        )
     assert len(stage.sent(call)) == 2 and stage.answers(call) == 1
 
 
 def test_a_single_shot_call_is_neither_sent_again_nor_refused() -> None:
-    single_shot_classes = (replace(SETTINGS.classes[0], repeat=Repeat.SINGLE_SHOT),)
+    single_shot_classes = (replace(SETTINGS.classes[0], retry_policy=RetryPolicy.SINGLE_SHOT),)
     stage = Stage(replace(SETTINGS, classes=single_shot_classes))
     call, _ = stage.call(1)
-    actions = stage.give(AttemptEnded(call, exchange(1), 0, Ending.TIMED_OUT, False, 900.0), 900.0)
-    assert any(isinstance(a, GiveUp) for a in actions) and len(stage.sent(call)) == 1
+    actions = stage.give(AttemptEnded(call, exchange(1), 0, AttemptOutcome.TIMED_OUT, False, 900.0), 900.0)
+    assert any(isinstance(a, FailCall) for a in actions) and len(stage.sent(call)) == 1
 
 
 def test_a_tandem_that_rejected_a_call_is_not_used_for_that_destination() -> None:
@@ -200,7 +204,9 @@
     stage.circuits(1, 0)
     stage.circuits(2, 99)
     call, _ = stage.call(1)
-    stage.give(AttemptEnded(call, exchange(2), 0, Ending.TURNED_BACK, False, 50.0, Reason.TANDEM))
+    stage.give(
+        AttemptEnded(call, exchange(2), 0, AttemptOutcome.TURNED_BACK, False, 50.0, RejectionReason.TANDEM)
+    )
     assert stage.sent(call) == [exchange(2), exchange(3)]
     next_call, _ = stage.call(1)
     assert exchange(2) not in stage.sent(next_call)
@@ -212,26 +218,26 @@
 ) -> None:
     stage = Stage(EVEN)
     first, _ = stage.call(1)
-    stage.give(CallStands(first, exchange(1), 0, 40.0), 40.0)
-    stage.give(Woken(0), 10.0)
+    stage.give(CallEstablished(first, exchange(1), 0, 40.0), 40.0)
+    stage.give(TimerFired(0), 10.0)
     second, _ = stage.call(1)
-    stage.give(AttemptEnded(second, exchange(1), 0, Ending.CUT, False, 20.0), since_answer_ms)
+    stage.give(AttemptEnded(second, exchange(1), 0, AttemptOutcome.CUT, False, 20.0), since_answer_ms)
     assert stage.switch.exchanges[exchange(1)].failed
-    stage.give(CallStands(second, exchange(1), 0, 40.0))
+    stage.give(CallEstablished(second, exchange(1), 0, 40.0))
     assert (stage.switch.exchanges[exchange(1)].started_at > 0) is cold
 
 
 def test_a_failed_exchange_gets_single_recovery_probes_and_is_cold_afterwards() -> None:
     stage = Stage()
     call, _ = stage.call(1)
-    stage.give(AttemptEnded(call, exchange(1), 0, Ending.UNREACHABLE, False, 10.0), 10.0)
+    stage.give(AttemptEnded(call, exchange(1), 0, AttemptOutcome.UNREACHABLE, False, 10.0), 10.0)
     calls = [stage.call(1)[0] for _ in range(10)]
     assert not any(stage.sent(c) for c in calls)
-    stage.give(Woken(0), 1000.0)
+    stage.give(TimerFired(0), 1000.0)
     retried = [c for c in [call, *calls] if stage.sent(c)[-1:] == [exchange(1)]]
     pending = [c for c in retried if stage.switch.calls[c].pending_exchange]
     assert len(pending) == 1
-    stage.give(CallStands(pending[0], exchange(1), len(stage.sent(pending[0])) - 1, 100.0), 100.0)
+    stage.give(CallEstablished(pending[0], exchange(1), len(stage.sent(pending[0])) - 1, 100.0), 100.0)
     sent_before = sum(len(stage.sent(c)) for c in calls)
     assert sum(len(stage.sent(c)) for c in [stage.call(1)[0] for _ in range(10)]) <= 1
     assert sent_before <= 2
@@ -241,19 +247,19 @@
     stage = Stage()
     for _ in range(6):
         call, _ = stage.call(1)
-        stage.give(CallStands(call, exchange(1), 0, 60.0), 60.0)
+        stage.give(CallEstablished(call, exchange(1), 0, 60.0), 60.0)
     sent_after_quick_answers = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
     for call in list(stage.switch.calls):
         if call in stage.switch.calls and stage.switch.calls[call].pending_exchange:
-            stage.give(AttemptEnded(call, exchange(1), 0, Ending.TIMED_OUT, True, 1500.0), 400.0)
+            stage.give(AttemptEnded(call, exchange(1), 0, AttemptOutcome.TIMED_OUT, True, 1500.0), 400.0)
     sent_after_slow_answers = sum(len(stage.sent(stage.call(1)[0])) for _ in range(20))
     assert sent_after_quick_answers >= 4 and sent_after_slow_answers <= 2
 
 
 def test_failed_probes_of_the_own_processor_shed_load() -> None:
-    stage = Stage(replace(EVEN, may_probe=True, reports=Reports.WHEN_PROBED))
+    stage = Stage(replace(EVEN, may_probe=True, load_reporting=LoadReporting.WHEN_PROBED))
     for _ in range(8):
-        probes = [a for a in stage.give(Woken(0), 1000.0) if isinstance(a, Probe)]
+        probes = [a for a in stage.give(TimerFired(0), 1000.0) if isinstance(a, Probe)]
         assert exchange(0) in [a.exchange for a in probes]
         stage.give(Report(exchange(0), True, False, 250.0))
     sent = sum(len(stage.sent(stage.call(1 + index % 4)[0])) for index in range(40))
@@ -269,9 +275,9 @@
         call, actions = stage.call(1, kind=class_index)
         if any(isinstance(a, SetUp) for a in actions):
             admitted[class_index] += 1
-            stage.give(CallStands(call, exchange(1), 0, 50.0))
+            stage.give(CallEstablished(call, exchange(1), 0, 50.0))
         else:
-            stage.give(CallerLeft(call))
+            stage.give(CallAbandoned(call))
     assert admitted[1] / (N / 10) > admitted[0] / (N * 0.9) + 0.2
     assert (admitted[0] + admitted[1]) / N == pytest.approx(0.5, abs=0.04)
 
@@ -285,12 +291,12 @@
         stage.circuits(1, 90, 0.5)
         called = redials.pop() if is_redial else index + 1
         stage.now += 1.0
-        actions = stage.give(CallOffered(index, 1, 0, 1, 3000.0, called=called))
+        actions = stage.give(CallOffered(index, 1, 0, 1, 3000.0, called_number=called))
         if any(isinstance(a, SetUp) for a in actions):
             admitted[is_redial] += 1
-            stage.give(CallStands(index, exchange(1), 0, 50.0))
+            stage.give(CallEstablished(index, exchange(1), 0, 50.0))
         else:
-            stage.give(CallerLeft(index), 1.0 if is_redial else 1600.0)
+            stage.give(CallAbandoned(index), 1.0 if is_redial else 1600.0)
             if not is_redial:
                 redials.append(called)
     assert len(redials) < N / 3
@@ -304,48 +310,52 @@
     for index in range(N):
         short_budget = index % 2 == 0
         stage.circuits(1, 90, 0.5)
-        actions = stage.give(CallOffered(index, 1, 0, 1, 500.0 if short_budget else 3000.0, called=index + 1))
+        actions = stage.give(
+            CallOffered(index, 1, 0, 1, 500.0 if short_budget else 3000.0, called_number=index + 1)
+        )
         if any(isinstance(a, SetUp) for a in actions):
             admitted[short_budget] += 1
-            stage.give(CallStands(index, exchange(1), 0, 50.0))
+            stage.give(CallEstablished(index, exchange(1), 0, 50.0))
         else:
-            stage.give(CallerLeft(index))
+            stage.give(CallAbandoned(index))
     assert admitted[True] == pytest.approx(admitted[False], rel=0.1)
 
 
 def test_a_list_on_request_is_watched_and_requested_again_after_a_failure() -> None:
     stage = Stage(replace(SETTINGS, list_on_request=True))
     for _ in range(30):
-        stage.give(Woken(0), 100.0)
-    assert sum(isinstance(a, FollowList) for _, a in stage.done) == 1
+        stage.give(TimerFired(0), 100.0)
+    assert sum(isinstance(a, WatchList) for _, a in stage.done) == 1
     stage.give(ExchangeList(ListKind.FAILED))
     actions_before = len(stage.done)
     for _ in range(30):
-        stage.give(Woken(0), 100.0)
-    assert any(isinstance(a, FollowList) for _, a in stage.done[actions_before:])
+        stage.give(TimerFired(0), 100.0)
+    assert any(isinstance(a, WatchList) for _, a in stage.done[actions_before:])
 
 
 def test_pool_calls_try_the_first_choice_then_the_freest_allowed_pool() -> None:
     pool_classes = (replace(SETTINGS.classes[0], pools=(1, 2, 3)),)
-    stage = Stage(replace(SETTINGS, mesh=False, here=-1, classes=pool_classes))
+    stage = Stage(replace(SETTINGS, mesh=False, own_number=-1, classes=pool_classes))
     stage.circuits(3, 99)
     stage.circuits(4, 100)
     call, _ = stage.call(1)
-    stage.give(AttemptEnded(call, exchange(1), 0, Ending.TURNED_BACK, False, 9.0, Reason.NO_CIRCUIT))
+    stage.give(
+        AttemptEnded(call, exchange(1), 0, AttemptOutcome.TURNED_BACK, False, 9.0, RejectionReason.NO_CIRCUIT)
+    )
     assert stage.sent(call) == [exchange(1), exchange(3)]
 
 
 def test_events_for_unknown_calls_and_exchanges_are_ignored() -> None:
     stage = Stage()
-    stage.give(CallerLeft(999))
-    stage.give(CallerLeft(999))
-    stage.give(AttemptEnded(999, exchange(77), 0, Ending.TIMED_OUT, True, 1.0))
-    stage.give(CallStands(999, exchange(77), 0, 1.0))
+    stage.give(CallAbandoned(999))
+    stage.give(CallAbandoned(999))
+    stage.give(AttemptEnded(999, exchange(77), 0, AttemptOutcome.TIMED_OUT, True, 1.0))
+    stage.give(CallEstablished(999, exchange(77), 0, 1.0))
     stage.give(Report(exchange(77), True, True, 1.0, (1.0, 2.0, 0.5)))
-    stage.give(Woken(12345))
+    stage.give(TimerFired(12345))
     call, _ = stage.call(55)
     for _ in range(20):
-        stage.give(Woken(0), 100.0)
+        stage.give(TimerFired(0), 100.0)
     assert stage.answers(call) == 1 and not stage.sent(call)
 
 
@@ -354,12 +364,12 @@
     for _ in range(200):
         stage.circuits(1, 50)
     ticks = stage.now / 100.0  # one timer a tick, however many events come between
-    assert sum(isinstance(a, WakeAt) for _, a in stage.done) <= ticks + 1
+    assert sum(isinstance(a, SetTimer) for _, a in stage.done) <= ticks + 1
     assert len(stage.wakes) == 1
 
 
 def test_a_report_without_known_load_values_changes_nothing() -> None:
-    stage = Stage(replace(SETTINGS, figures=(Figure.UNKNOWN,)))
+    stage = Stage(replace(SETTINGS, load_fields=(LoadField.UNKNOWN,)))
     stage.give(Report(exchange(1), False, True, 0.0, (3.0,)))
     stage.give(CallOffered(1, 1, 0, 1, 3000.0))
     assert stage.sent(1) == [exchange(1)]
@@ -369,7 +379,7 @@
     stage = Stage(EVEN)
     for _ in range(8):
         call, _ = stage.call(1)
-        stage.give(CallStands(call, exchange(1), 0, 450.0), 450.0)
+        stage.give(CallEstablished(call, exchange(1), 0, 450.0), 450.0)
     stage.circuits(1, 0)
     for n in (2, 3, 4):
         stage.circuits(n, 0)
@@ -384,26 +394,30 @@
 def test_calls_wait_while_the_own_processor_is_down() -> None:
     stage = Stage()
     call, _ = stage.call(1)
-    stage.give(AttemptEnded(call, exchange(1), 0, Ending.NOT_SENT, False, 0.0, Reason.PROCESSOR_FULL))
+    stage.give(
+        AttemptEnded(
+            call, exchange(1), 0, AttemptOutcome.NOT_SENT, False, 0.0, RejectionReason.PROCESSOR_FULL
+        )
+    )
     next_call, _ = stage.call(2)
     assert not stage.sent(next_call) and len(stage.sent(call)) == 1
-    stage.give(Woken(0), 1100.0)
+    stage.give(TimerFired(0), 1100.0)
     assert stage.sent(next_call) == [exchange(2)]
 
 
 def test_the_offered_rate_that_sets_the_cold_pace_is_kept_while_an_exchange_is_gone() -> None:
     stage = Stage(EVEN)
-    stage.give(ExchangeList(ListKind.CHANGES, (line(1, Health.GONE),)))
+    stage.give(ExchangeList(ListKind.CHANGES, (line(1, Health.REMOVED),)))
     for _ in range(100):
         stage.call(1)
-        stage.give(Woken(0), 200.0)
+        stage.give(TimerFired(0), 200.0)
     stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
     actions_before = len(stage.done)
     for _ in range(25):
         stage.call(1)
         for call in [c for c in stage.switch.calls.values() if c.pending_exchange]:
-            stage.give(CallStands(call.id, exchange(1), 0, 60.0))
-        stage.give(Woken(0), 200.0)
+            stage.give(CallEstablished(call.id, exchange(1), 0, 60.0))
+        stage.give(TimerFired(0), 200.0)
     sent = sum(isinstance(a, SetUp) for _, a in stage.done[actions_before:])
     assert 6 <= sent <= 20
 
@@ -412,12 +426,12 @@
     stage = Stage()
     stage.circuits(1, 0)
     stage.circuits(2, 90)
-    stage.give(CallOffered(8000, 1, 0, 1, 3000.0, advised=3))
+    stage.give(CallOffered(8000, 1, 0, 1, 3000.0, advised_number=3))
     assert stage.sent(8000) == [exchange(3)]
-    stage.give(CallStands(8000, exchange(3), 0, 80.0), 80.0)
+    stage.give(CallEstablished(8000, exchange(3), 0, 80.0), 80.0)
     call, _ = stage.call(1)
     assert stage.sent(call) == [exchange(3)]
-    stage.give(CallStands(call, exchange(3), 0, 80.0), 20000.0)
+    stage.give(CallEstablished(call, exchange(3), 0, 80.0), 20000.0)
     direct_call, _ = stage.call(4, width=1)
     stage.circuits(4, 0)
     overflow_call, _ = stage.call(4)
@@ -434,7 +448,7 @@
     assert stage.sent(call_without_group) == [exchange(2)]
 
 
-MESSAGING = replace(SETTINGS, may_message=True, softswitches=5)
+MESSAGING = replace(SETTINGS, may_message=True, softswitch_count=5)
 
 
 def leg_report(number: int, *legs: tuple[int, int]) -> bytes:
@@ -446,18 +460,18 @@
     stage.circuits(1, 0)
     stage.circuits(2, 90)
     call, actions = stage.call(1)
-    assert [a.to for a in actions if isinstance(a, Tell)] == [1] and not stage.sent(call)
+    assert [a.receiver for a in actions if isinstance(a, SendPeerMessage)] == [1] and not stage.sent(call)
     stage.give(PeerMessage(1, leg_report(1, (2, 0), (3, 1), (4, 7))), 20.0)
     assert stage.sent(call) in ([exchange(3)], [exchange(4)])
     wide_call, actions = stage.call(1, width=4)
-    assert stage.sent(wide_call) == [exchange(4)] and not any(isinstance(a, Tell) for a in actions)
+    assert stage.sent(wide_call) == [exchange(4)] and not any(isinstance(a, SendPeerMessage) for a in actions)
 
 
 def test_a_query_is_answered_with_the_own_trunk_groups() -> None:
     stage = Stage(MESSAGING)
     stage.circuits(2, 7)
     (reply,) = stage.give(PeerMessage(3, struct.pack(">cH", b"?", 0)))
-    assert isinstance(reply, Tell) and reply.to == 3 and len(reply.payload) <= 256
+    assert isinstance(reply, SendPeerMessage) and reply.receiver == 3 and len(reply.payload) <= 256
     assert (2, 7) in struct.iter_unpack(">HB", reply.payload[3:])
 
 
@@ -469,9 +483,9 @@
         offered_at = stage.now
         call, _ = stage.call(1)
         while not stage.sent(call):
-            stage.give(Woken(0), 50.0)
+            stage.give(TimerFired(0), 50.0)
         delays.append(stage.now - offered_at)
-        stage.give(CallStands(call, stage.sent(call)[0], 0, 60.0), 4000.0)
+        stage.give(CallEstablished(call, stage.sent(call)[0], 0, 60.0), 4000.0)
     assert max(delays) <= 250.0 and delays[-1] == 0.0
 
 
@@ -492,7 +506,7 @@
     stage = Stage(MESSAGING)
     assert stage.give(PeerMessage(1, payload)) == []
     assert stage.give(PeerMessage(60000, leg_report(1, (2, 9)))) == []
-    assert not stage.switch.exchanges[exchange(1)].reported_legs
+    assert not stage.switch.exchanges[exchange(1)].legs
     stage.give(PeerMessage(1, leg_report(1, (2, 9))))
     stage.give(PeerMessage(1, leg_report(1, (2, 9))))
     call, _ = stage.call(1)
@@ -503,12 +517,12 @@
     stage = Stage(EVEN)
     calls = []
     for index in range(6):
-        stage.give(CallOffered(7000 + index, 1, 0, 1, 3000.0, called=7000 + index), 30.0)
+        stage.give(CallOffered(7000 + index, 1, 0, 1, 3000.0, called_number=7000 + index), 30.0)
         calls.append(7000 + index)
     stage.wakes.clear()  # the timer fires two seconds late
     for call in calls:
         if stage.sent(call):
-            stage.give(CallStands(call, exchange(1), 0, 2000.0), 2000.0 if call == calls[0] else 0.0)
+            stage.give(CallEstablished(call, exchange(1), 0, 2000.0), 2000.0 if call == calls[0] else 0.0)
     new_calls = [stage.call(1)[0] for _ in range(3)]
     assert all(stage.sent(call) for call in new_calls)
     stage.circuits(2, 0)
@@ -516,9 +530,9 @@
         stage.circuits(n, 0)
     stage.wakes.clear()
     # 1,300 ms of the call's slo of 1,500 ms have passed.
-    stage.give(CallOffered(7100, 2, 0, 1, 1700.0, called=7100), 2000.0)
+    stage.give(CallOffered(7100, 2, 0, 1, 1700.0, called_number=7100), 2000.0)
     for _ in range(7):
-        stage.give(Woken(0), 50.0)
+        stage.give(TimerFired(0), 50.0)
     assert stage.answers(7100) == 1
 
 
@@ -534,14 +548,17 @@
         call, _ = stage.call(number)
         first_sent = stage.sent(call)
         if first_sent and succeeds:
-            stage.give(CallStands(call, first_sent[0], 0, 60.0), 20.0)
+            stage.give(CallEstablished(call, first_sent[0], 0, 60.0), 20.0)
         for attempt in range(SETTINGS.max_attempts):
             if call in stage.switch.calls and len(stage.sent(call)) > attempt:
                 tandem = stage.sent(call)[attempt]
                 stage.give(
-                    AttemptEnded(call, tandem, attempt, Ending.TURNED_BACK, False, 60.0, Reason.TANDEM), 20.0
+                    AttemptEnded(
+                        call, tandem, attempt, AttemptOutcome.TURNED_BACK, False, 60.0, RejectionReason.TANDEM
+                    ),
+                    20.0,
                 )
-        stage.give(CallerLeft(call))
+        stage.give(CallAbandoned(call))
         return bool(first_sent)
 
     sent_while_successful = [call_over_tandem(1, True) for _ in range(60)]
@@ -552,7 +569,10 @@
 @pytest.mark.parametrize("instances", [3, 70])
 def test_rule_four_all_softswitches_together_pace_a_cold_exchange(instances: int) -> None:
     """Calls for the cold exchange are always queued at every softswitch: each sends as much as it may."""
-    stages = [Stage(replace(EVEN, here=0, softswitches=instances), seed=index) for index in range(instances)]
+    stages = [
+        Stage(replace(EVEN, own_number=0, softswitch_count=instances), seed=index)
+        for index in range(instances)
+    ]
     sent: list[float] = []
     for stage in stages:
         stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
@@ -561,7 +581,7 @@
             # The total number of calls does not depend on the number of softswitches.
             if index % instances == 0 or index == 0:
                 stage.call(1)
-            stage.give(Woken(0), 100.0)
+            stage.give(TimerFired(0), 100.0)
         sent += [
             sent_time - started_at for sent_time, a in stage.done[actions_before:] if isinstance(a, SetUp)
         ]
@@ -577,14 +597,16 @@
     call, _ = stage.call(0)
     assert stage.sent(call) == [exchange(2)], "the freest first leg"
     # Rejected there, it is sent to another tandem, never to the own exchange.
-    stage.give(AttemptEnded(call, exchange(2), 0, Ending.TURNED_BACK, False, 20.0, Reason.TANDEM))
+    stage.give(
+        AttemptEnded(call, exchange(2), 0, AttemptOutcome.TURNED_BACK, False, 20.0, RejectionReason.TANDEM)
+    )
     assert len(stage.sent(call)) == 2 and exchange(0) not in stage.sent(call)
     # Without a free circuit it is queued as any blocked call, and refused at its slo.
     for n in range(1, 5):
         stage.circuits(n, 0)
     queued_call, actions = stage.call(0)
     assert not stage.sent(queued_call) and not stage.answers(queued_call)
-    stage.give(Woken(0), 1600.0)
+    stage.give(TimerFired(0), 1600.0)
     assert stage.answers(queued_call) == 1 and not stage.sent(queued_call)
     # A transit call may go to its destination only, which is the own exchange: it is refused at once.
     transit_call, actions = stage.call(0, transit=True)
@@ -592,6 +614,10 @@
     # The own processor is down: a set-up from here would not be sent.
     stage.circuits(2, 90)
     failed_call, _ = stage.call(2)
-    stage.give(AttemptEnded(failed_call, exchange(2), 0, Ending.NOT_SENT, False, 0.0, Reason.PROCESSOR_FULL))
+    stage.give(
+        AttemptEnded(
+            failed_call, exchange(2), 0, AttemptOutcome.NOT_SENT, False, 0.0, RejectionReason.PROCESSOR_FULL
+        )
+    )
     next_call, _ = stage.call(0)
     assert not stage.sent(next_call)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,21 +15,21 @@
 
 from badgerstile.interface import (
     AttemptEnded,
-    CallerLeft,
-    CallStands,
-    Ending,
+    AttemptOutcome,
+    CallAbandoned,
+    CallEstablished,
     ExchangeList,
-    GiveUp,
+    FailCall,
     Health,
     ListKind,
+    LoadReporting,
     PeerMessage,
-    Reason,
     Refuse,
+    RejectionReason,
     Report,
-    Reports,
+    SetTimer,
     SetUp,
-    WakeAt,
-    Woken,
+    TimerFired,
 )
 from tests.helpers import SETTINGS, Stage, exchange, line
 
@@ -58,12 +58,12 @@
             SETTINGS,
             may_probe=True,
             may_message=True,
-            softswitches=remote_count + 1,
-            reports=Reports.WHEN_PROBED,
+            softswitch_count=remote_count + 1,
+            load_reporting=LoadReporting.WHEN_PROBED,
         )
         if uses_pools:
             classes_with_pools = tuple(replace(c, pools=tuple(range(remote_count + 1))) for c in base.classes)
-            base = replace(base, mesh=False, here=-1, classes=classes_with_pools)
+            base = replace(base, mesh=False, own_number=-1, classes=classes_with_pools)
         self.uses_pools = uses_pools
         self.stage = Stage(base, remote_count, seed)
         self.calls: dict[int, ExpectedCall] = {}
@@ -75,8 +75,8 @@
 
     def check_actions(self) -> None:
         for now, action in self.stage.done[self.checked :]:
-            if isinstance(action, WakeAt):
-                self.timers.append((action.at_ms, action.token))
+            if isinstance(action, SetTimer):
+                self.timers.append((action.due_ms, action.token))
             elif isinstance(action, SetUp):
                 call = self.calls[action.call]
                 assert not call.concluded, "set-up sent after the call was concluded"
@@ -88,13 +88,17 @@
                 assert self.uses_pools or action.exchange != exchange(0)
                 call.pending_exchange, call.attempts = action.exchange, call.attempts + 1
                 call.attempt_ends_at = min(
-                    now + action.wait_ms if action.wait_ms else call.answer_by, call.answer_by
+                    now + action.timeout_ms if action.timeout_ms else call.answer_by, call.answer_by
                 )
                 if action.exchange in self.sent_while_cold:
                     self.sent_while_cold[action.exchange].append(now)
-                    recent = [t for t in self.sent_while_cold[action.exchange] if t > now - SETTINGS.fall_ms]
+                    recent = [
+                        t
+                        for t in self.sent_while_cold[action.exchange]
+                        if t > now - SETTINGS.overload_window_ms
+                    ]
                     assert len(recent) <= 3, "too many set-ups to a cold exchange"
-            elif isinstance(action, Refuse | GiveUp):
+            elif isinstance(action, Refuse | FailCall):
                 call = self.calls[action.call]
                 assert not call.concluded, "two final answers"
                 assert call.pending_exchange is None and now <= call.answer_by + 20
@@ -109,7 +113,7 @@
             stage.now += rng.choice((0.0, 5.0, 5.0, 20.0, 60.0))
         for timer in sorted(t for t in self.timers if t[0] <= stage.now):
             self.timers.remove(timer)
-            stage.give(Woken(timer[1]))
+            stage.give(TimerFired(timer[1]))
             self.check_actions()
         for call_id, call in list(self.calls.items()):
             if call.concluded:
@@ -127,9 +131,11 @@
             number = rng.randint(1, self.remote_count)
             stage.give(Report(exchange(number), False, True, 0.0, (float(rng.randint(0, 12)), 20.0, -1.0)))
         elif chance < 0.8:
-            figures = (9.0, 20.0, rng.random())
+            load_values = (9.0, 20.0, rng.random())
             stage.give(
-                Report(exchange(rng.randint(0, self.remote_count)), True, rng.random() < 0.8, 30.0, figures)
+                Report(
+                    exchange(rng.randint(0, self.remote_count)), True, rng.random() < 0.8, 30.0, load_values
+                )
             )
         elif chance < 0.84:
             self.change_exchange_list()
@@ -139,7 +145,7 @@
             call_id = rng.choice(list(self.calls))
             if not self.calls[call_id].pending_exchange:
                 self.calls[call_id].concluded = True
-                stage.give(CallerLeft(call_id))
+                stage.give(CallAbandoned(call_id))
         self.check_actions()
 
     def stall_two_seconds(self) -> None:
@@ -149,7 +155,7 @@
         for call_id, call in self.calls.items():
             if not call.concluded and call.answer_by < self.stage.now:
                 call.concluded = True
-                self.stage.give(CallerLeft(call_id))
+                self.stage.give(CallAbandoned(call_id))
                 self.check_actions()
 
     def send_peer_message(self) -> None:
@@ -170,7 +176,7 @@
 
     def change_exchange_list(self) -> None:
         number = self.rng.randint(1, self.remote_count)
-        health = self.rng.choice((Health.READY, Health.DRAINING, Health.GONE))
+        health = self.rng.choice((Health.READY, Health.DRAINING, Health.REMOVED))
         came_up = self.stage.now if health is Health.READY else 0.0
         self.leaving.discard(exchange(number))
         self.sent_while_cold.pop(exchange(number), None)
@@ -183,22 +189,27 @@
     def end_attempt(self, call_id: int, call: ExpectedCall, timed_out: bool) -> None:
         rng, stage, exchange_id, attempt = self.rng, self.stage, call.pending_exchange, call.attempts - 1
         assert exchange_id is not None
-        ending = Ending.TIMED_OUT if timed_out else rng.choice(
-            (None, Ending.TURNED_BACK, Ending.UNREACHABLE, Ending.CUT, Ending.NOT_SENT, Ending.ERROR)
+        outcome = AttemptOutcome.TIMED_OUT if timed_out else rng.choice(
+            (
+                None, AttemptOutcome.TURNED_BACK, AttemptOutcome.UNREACHABLE, AttemptOutcome.CUT,
+                AttemptOutcome.NOT_SENT, AttemptOutcome.ERROR,
+            )
         )  # fmt: skip
         call.pending_exchange = None
-        if ending is None:
+        if outcome is None:
             call.concluded = True
-            stage.give(CallStands(call_id, exchange_id, attempt, 80.0))
+            stage.give(CallEstablished(call_id, exchange_id, attempt, 80.0))
             return
-        if ending in (Ending.TIMED_OUT, Ending.CUT):
-            call.earliest_retry_at = stage.now + SETTINGS.release_ms
-        reason = Reason.NONE
-        if ending is Ending.TURNED_BACK:
-            reason = rng.choice((Reason.NO_CIRCUIT, Reason.TANDEM, Reason.PROCESSOR_FULL))
-        elif ending is Ending.NOT_SENT:
-            reason = rng.choice((Reason.NO_CIRCUIT, Reason.PROCESSOR_FULL))
-        stage.give(AttemptEnded(call_id, exchange_id, attempt, ending, False, 80.0, reason))
+        if outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT):
+            call.earliest_retry_at = stage.now + SETTINGS.release_wait_ms
+        reason = RejectionReason.NONE
+        if outcome is AttemptOutcome.TURNED_BACK:
+            reason = rng.choice(
+                (RejectionReason.NO_CIRCUIT, RejectionReason.TANDEM, RejectionReason.PROCESSOR_FULL)
+            )
+        elif outcome is AttemptOutcome.NOT_SENT:
+            reason = rng.choice((RejectionReason.NO_CIRCUIT, RejectionReason.PROCESSOR_FULL))
+        stage.give(AttemptEnded(call_id, exchange_id, attempt, outcome, False, 80.0, reason))
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
