--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -85,23 +85,23 @@
         self.number = entry.number
         self.health = entry.health
         self.started_at = 0.0
-        self.free_circuits, self.circuits = -1, 0.0  # of its trunk group; negative: not reported
+        self.free_circuits, self.circuits = -1, 0.0  # of its trunk group; free is -1 until reported
         self.reported_share, self.share_reported_at = 0.0, float("-inf")
         self.latency, self.latency_at = 0.0, float("-inf")
-        self.pending: dict[int, float] = {}
+        self.pending: dict[int, float] = {}  # call id to the time of its set-up
         self.last_answer_at = float("-inf")
-        self.recovery_probe: int | None = None
+        self.recovery_probe: int | None = None  # id of the call that serves as probe
         self.failures, self.recovery_probe_at, self.failed = 0, float("-inf"), False
         self.next_paced_at = float("-inf")
         self.probed_at = float("-inf")
         self.adapted_share, self.adapted_at = 0.0, float("-inf")
         self.window, self.halved_at, self.window_opens_at = INITIAL_WINDOW, float("-inf"), float("-inf")
-        self.tandem_backoff: dict[int, tuple[float, float]] = {}
-        self.leg_open_at: dict[int, float] = {}
-        self.legs: dict[int, int] = {}  # its own trunk groups: far number to free circuits
+        self.tandem_backoff: dict[int, tuple[float, float]] = {}  # by destination: end and length
+        self.leg_open_at: dict[int, float] = {}  # by destination: when its leg last carried a new call
+        self.legs: dict[int, int] = {}  # its own trunk groups: number at the far end to free circuits
         self.legs_at = self.legs_queried_at = float("-inf")
         self.unanswered_queries = 0
-        self.last_sent_at, self.last_sent_width = float("-inf"), 0
+        self.last_sent_at, self.last_sent_width = float("-inf"), 0  # width: sum of the set-ups of that time
 
     def has_room(self, width: int) -> bool:
         """Whether the trunk group has that many free circuits, or does not report them."""
@@ -187,21 +187,21 @@
         self.settings = settings
         self.random = random.Random(seed)
         self.exchanges: dict[bytes, RemoteExchange] = {}
-        self.by_number: dict[int, RemoteExchange] = {}
-        self.peer_by_number: dict[int, int] = {}
+        self.by_number: dict[int, RemoteExchange] = {}  # ready exchanges only
+        self.peer_by_number: dict[int, int] = {}  # number to the index of its softswitch, as learned
         self.calls: dict[int, Call] = {}
         self.actions: list[Action] = []
         self.timer_set, self.timer_due_at = False, 0.0
         self.resumed_at = float("-inf")  # end of the last stall of this softswitch
         self.stalled_ms = 0.0
         self.tandem_success = 1.0  # moving average: fraction of tandem attempts that succeed
-        self.usual_budget: dict[int, tuple[float, int]] = {}  # by class, of first tries; votes for it
-        self.offered_rates: dict[int, tuple[float, float]] = {}
+        self.usual_budget: dict[int, tuple[float, int]] = {}  # by class: usual ms of first tries, votes
+        self.offered_rates: dict[int, tuple[float, float]] = {}  # by number: calls a second, time of update
         self.started = False
         self.list_request_at: float | None = None
         self.list_retry_ms = settings.list_request_within_ms / 16
         slo_ms = min(c.slo_ms for c in settings.classes)
-        self.base_latency = slo_ms
+        self.base_latency = slo_ms  # lowest latency so far: the latency without queueing
         self.wait_unit_ms = min(settings.retransmit_ms or slo_ms, slo_ms / 3)
         self.worth_mix: dict[float, float] = {}  # worth to its fraction of recently offered calls
         self.unserved: dict[int, float] = {}  # called number to the first try of its failed call
@@ -321,10 +321,7 @@
 
     def _own_share(self, now: float) -> float:
         """The hold-back share of the own processor (on every path), from probes and from the common wait."""
-        own, share = (
-            self.by_number.get(self.settings.own_number),
-            self._share_of_wait(self._common_wait(now)),
-        )
+        own, share = self.by_number.get(self.settings.own_number), self._share_of_wait(self._common_wait(now))
         return min(max(share, self._share_to(own, now) if own is not None else 0.0), 1 - MIN_ADMITTED)
 
     # --- a call ---
