--- a/badgerstile/control.py
+++ b/badgerstile/control.py
@@ -153,7 +153,7 @@
     """A call that has not been answered yet."""
 
     __slots__ = (
-        "id", "number", "class_index", "width", "transit", "worth_quantile", "queued_since", "slo_at",
+        "id", "number", "class_index", "width", "transit", "worth_quantile", "slo_started_at", "slo_at",
         "answer_by", "not_before", "attempts", "pending_exchange", "tried_exchanges", "may_have_run",
         "advised", "called", "first_tried_at",
     )  # fmt: skip
@@ -171,8 +171,8 @@
         self.worth_quantile = worth_quantile
         self.answer_by = now + event.budget_ms - ANSWER_MARGIN_MS
         past_slo = now - first_tried_at > slo_ms
-        self.queued_since = now if past_slo else first_tried_at
-        self.slo_at = min(self.queued_since + slo_ms, self.answer_by - TICK_MS)
+        self.slo_started_at = now if past_slo else first_tried_at
+        self.slo_at = min(self.slo_started_at + slo_ms, self.answer_by - TICK_MS)
         self.not_before = now
         self.attempts = 0
         self.pending_exchange: bytes | None = None
@@ -417,7 +417,7 @@
         if remote is None or call.worth_quantile < max(self._share_to(remote, now), self._own_share(now)):
             return None if self.settings.mesh else self._overflow_route(call, remote, now)
         if (
-            now > call.queued_since
+            now > call.slo_started_at
             and call.slo_at - now < remote.latency
             and now - remote.latency_at < SHARE_LIFETIME_MS
         ):
@@ -602,11 +602,11 @@
         remote = self.exchanges.get(event.exchange)
         call = self.calls.get(event.call)
         if remote is not None:
-            self._note_result(remote, call, event, now)
+            self._record_outcome(remote, call, event, now)
         if call is not None:
-            self._next_step(remote, call, event, now)
+            self._continue_call(remote, call, event, now)
 
-    def _note_result(
+    def _record_outcome(
         self, remote: RemoteExchange, call: Call | None, event: AttemptEnded, now: float
     ) -> None:
         """Updates the view of the exchange that a failed attempt went to."""
@@ -637,7 +637,9 @@
             # The end of an established call does not show that the exchange works, nor does a full processor.
             remote.mark_answered(now)
 
-    def _next_step(self, remote: RemoteExchange | None, call: Call, event: AttemptEnded, now: float) -> None:
+    def _continue_call(
+        self, remote: RemoteExchange | None, call: Call, event: AttemptEnded, now: float
+    ) -> None:
         """Concludes the call, tries it again once its attempt is released, or refuses it."""
         call.pending_exchange = None
         if event.call_ended:
