--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -13,7 +13,7 @@
 from landingdeal.core.events import CallerReleased, Unreadable, Why, Withdrawn
 from landingdeal.core.lifecycle import Idler, Lifecycle, may_go, spare
 from landingdeal.log import record
-from landingdeal.net.link import CallerLink, Door
+from landingdeal.net.link import Acceptor, CallerLink
 from landingdeal.net.set_up import offer_of
 from landingdeal.net.transaction import CallerTransaction
 from landingdeal.sip.headers import ALLOW, reason_header
@@ -28,7 +28,7 @@
 SETTLE_MS = 1000.0  # a release whose connection closes so soon after it is sent again on another
 
 
-class Callers:
+class CallerConnections:
     def __init__(
         self,
         settings: Settings,
@@ -42,7 +42,7 @@
         self.via = f"SIP/2.0/TCP {host}:{port}"
         self.later_ms = settings.max_retry_advice_ms or 1000.0
         self.patience_most = 2 * max(kind.deadline_ms for kind in settings.classes)
-        self.links_most, self.links_limit = int(sockets * LINKS_PART), int(sockets * BURST_PART)
+        self.max_links, self.accept_limit = int(sockets * LINKS_PART), int(sockets * BURST_PART)
         self.swept_ms = now_ms()
         self.lock = threading.Lock()
         self.links: dict[CallerLink, dict[str, CallerTransaction]] = {}  # and the set-ups open on each
@@ -52,10 +52,10 @@
         self.told: deque[tuple[float, str, int, CallerLink]] = deque(maxlen=UNHEARD_MOST)
         self.ready = threading.Event()
         self.life.doors += 1
-        self.door = Door(host, port, self._accepted, lambda: self.life.accepts, self._shut)
-        self.life.watchers.append(self.door.wake)
+        self.acceptor = Acceptor(host, port, self._accepted, lambda: self.life.accepts, self._acceptor_closed)
+        self.life.watchers.append(self.acceptor.wake)
 
-    def _shut(self) -> None:
+    def _acceptor_closed(self) -> None:
         self.life.doors -= 1
 
     def flush(self) -> int:
@@ -80,7 +80,7 @@
 
     def _accepted(self, sock: socket.socket) -> None:
         with self.lock:
-            if len(self.links) >= self.links_limit:
+            if len(self.links) >= self.accept_limit:
                 record("caller_turned_away", connections=len(self.links))
                 sock.close()
                 return
@@ -92,7 +92,7 @@
             with self.lock:
                 del self.links[link]
             raise
-        self._sweep()
+        self._close_surplus()
 
     def _owed(self, link: CallerLink) -> int:
         with self.lock:
@@ -107,11 +107,11 @@
             if now_ms() - at < UNHEARD_MS:
                 self.release(call, cause, link)
 
-    def _sweep(self) -> None:
+    def _close_surplus(self) -> None:
         """Guards descriptors and usual callers against those who ask once, or never, and hold on."""
         now = now_ms()
         with self.lock:
-            crowded = sum(link.alive for link in self.links) - self.links_most
+            crowded = sum(link.alive for link in self.links) - self.max_links
             if crowded <= 0 and now < self.swept_ms + SWEEP_MS:
                 return
             self.swept_ms = now
@@ -182,7 +182,7 @@
             transaction = transaction or self.settled.get((link, message.call_id))
         if transaction is None:
             transaction = CallerTransaction(self, link, message)
-        transaction.give_up()
+        transaction.cancel()
         self.inbox.tell(Withdrawn(message.call_id, transaction))
 
     def _repeated(self, link: CallerLink, call: str) -> bool:
@@ -213,7 +213,7 @@
             record("refused", call=offer.call, by="front", closed=self.inbox.closed)
             caller.refuse(self.later_ms, Why.TURNED_AWAY)
 
-    def closed_set_up(self, caller: CallerTransaction) -> None:
+    def transaction_answered(self, caller: CallerTransaction) -> None:
         with self.lock:
             open_here, call = self.links.get(caller.link, {}), caller.invite.call_id
             if open_here.get(call) is caller:
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -61,7 +61,7 @@
         self.wake = threading.Condition()
 
 
-class Hubs:
+class HubConnections:
     def __init__(self, settings: Settings, inbox: Inbox, local: str, dial_ms: float) -> None:
         self.set, self.inbox, self.dial_ms = settings, inbox, dial_ms
         aim = min(kind.aim_ms for kind in settings.classes)
--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -26,7 +26,7 @@
 FOREVER = float("inf")
 TCP_CLOSED = 7  # the state after a reset; after an orderly end of the peer it is CLOSE_WAIT, 8
 SKIP_MOST = 64 * 1024 * 1024  # of a message that is refused for its size: read and dropped up to here
-QUEUE_MOST = 512  # messages waiting for one peer; a peer that reads none of so many is cut off
+MAX_QUEUED_MESSAGES = 512  # messages waiting for one peer; a peer that reads none of so many is cut off
 _RECEIVED = struct.Struct("128xQ")  # tcpi_bytes_received in the system's tcp_info
 _TIMEVAL = struct.Struct("ll")  # seconds and microseconds, as the system wants them
 READ_SIZE = 16 * 1024
@@ -86,7 +86,7 @@
     ) -> None:
         self.sock = sock
         self.on_message, self.on_end = on_message, on_end
-        self.waiting: queue.Queue[Outgoing | None] = queue.Queue(QUEUE_MOST)
+        self.waiting: queue.Queue[Outgoing | None] = queue.Queue(MAX_QUEUED_MESSAGES)
         self.heard_ms = self.began_ms = now_ms()
         self.alive, self.broken = True, False
         self.number = next(_numbers)  # for the log
@@ -244,7 +244,7 @@
             return self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_CLOSED
         return False
 
-    def peer_is_there(self) -> bool:
+    def peer_reachable(self) -> bool:
         """Whether what is sent now can reach the peer, as far as the system knows: ahead of the reader."""
         if not self.alive:
             return False
@@ -320,7 +320,7 @@
         return now - self.unanswered_ms if self.unanswered_ms > self.heard_ms else 0.0
 
 
-class Door:
+class Acceptor:
     """Listens, and hands over each accepted connection from a thread of its own.
 
     `accepts` is asked all the while; once it says no, whoever the machine has let in by then is still handed
@@ -331,37 +331,37 @@
         self,
         host: str,
         port: int,
-        on_socket: Callable[[socket.socket], None],
+        on_accepted: Callable[[socket.socket], None],
         accepts: Callable[[], bool] = lambda: True,
-        on_shut: Callable[[], None] = lambda: None,
+        on_closed: Callable[[], None] = lambda: None,
     ) -> None:
-        self.on_socket, self.accepts, self.on_shut = on_socket, accepts, on_shut
+        self.on_accepted, self.accepts, self.on_closed = on_accepted, accepts, on_closed
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind((host, port))
         self.listener.listen(512)
         self.listener.setblocking(False)
-        self.bell = os.eventfd(0, os.EFD_NONBLOCK)
+        self.wake_event = os.eventfd(0, os.EFD_NONBLOCK)
         start_lasting_thread("accept", self._run)
 
     def wake(self) -> None:
         """From any thread: `accepts` may have changed."""
-        os.eventfd_write(self.bell, 1)
+        os.eventfd_write(self.wake_event, 1)
 
     def _run(self) -> None:
         poll = select.poll()
         poll.register(self.listener, select.POLLIN)
-        poll.register(self.bell, select.POLLIN)
+        poll.register(self.wake_event, select.POLLIN)
         while self.accepts():
             poll.poll()
             with contextlib.suppress(BlockingIOError):
-                os.eventfd_read(self.bell)
-            self._empty()
-        self._empty()
+                os.eventfd_read(self.wake_event)
+            self._accept_pending()
+        self._accept_pending()
         self.listener.close()
-        self.on_shut()
+        self.on_closed()
 
-    def _empty(self) -> None:
+    def _accept_pending(self) -> None:
         """Takes whoever waits; out of descriptors, whoever waits stays there a while."""
         while True:
             try:
@@ -377,7 +377,7 @@
             try:
                 sock.setblocking(True)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.on_socket(sock)
+                self.on_accepted(sock)
             except Exception as error:  # guards all later ones against what goes wrong with this one
                 say(f"a connection could not be taken: {type(error).__name__} {error}")
                 sock.close()
--- a/landingdeal/net/transaction.py
+++ b/landingdeal/net/transaction.py
@@ -16,19 +16,19 @@
 STATUS = {Why.FAILED: 500, Why.FORBIDDEN: 403}  # all others: 503, trying again is harmless
 
 
-class State(Enum):
+class TransactionState(Enum):
     """OPEN -> DECIDED -> WRITTEN; GIVEN_UP from the first two. Nothing leaves the last two."""
 
     OPEN = "open"
     DECIDED = "decided"  # the one final answer is queued
     WRITTEN = "written"  # the writer has begun with it
-    GIVEN_UP = "given up"  # the caller waits no more, and no answer may follow
+    CANCELLED = "given up"  # the caller waits no more, and no answer may follow
 
 
-class Front(Protocol):
+class TransactionRegistry(Protocol):
     """What a transaction needs of the table that holds it."""
 
-    def closed_set_up(self, transaction: CallerTransaction) -> None: ...
+    def transaction_answered(self, transaction: CallerTransaction) -> None: ...
 
     def release(self, call: str, cause: int, first: CallerLink | None = None) -> None: ...
 
@@ -39,21 +39,21 @@
     It is the `CallerSide` of its call.
     """
 
-    __slots__ = ("front", "link", "invite", "_state", "_lock")
+    __slots__ = ("registry", "link", "invite", "_state", "_lock")
 
-    def __init__(self, front: Front, link: CallerLink, invite: Message) -> None:
-        self.front, self.link, self.invite = front, link, invite
-        self._state, self._lock = State.OPEN, threading.Lock()
+    def __init__(self, registry: TransactionRegistry, link: CallerLink, invite: Message) -> None:
+        self.registry, self.link, self.invite = registry, link, invite
+        self._state, self._lock = TransactionState.OPEN, threading.Lock()
 
     @property
-    def state(self) -> State:
+    def state(self) -> TransactionState:
         return self._state
 
-    def _move(self, to: State, *allowed: State) -> bool:
+    def _move(self, target: TransactionState, *allowed: TransactionState) -> bool:
         with self._lock:
             if self._state not in allowed:
                 return False
-            self._state = to
+            self._state = target
             return True
 
     @property
@@ -61,37 +61,39 @@
         return self.link
 
     def reachable(self) -> bool:
-        return self._state is not State.GIVEN_UP and self.link.peer_is_there()
+        return self._state is not TransactionState.CANCELLED and self.link.peer_reachable()
 
     def answer(self, description: bytes) -> None:
-        self._final(lambda: response(self.invite, 200, body=description), stands=True)
+        self._send_final_answer(lambda: response(self.invite, 200, body=description), establishes_call=True)
 
     def refuse(self, come_back_ms: float, why: Why) -> None:
         later = (("x-later-ms", str(int(come_back_ms))),) if come_back_ms > 0 else ()
-        self._final(lambda: response(self.invite, STATUS.get(why, 503), *later))
+        self._send_final_answer(lambda: response(self.invite, STATUS.get(why, 503), *later))
 
-    def give_up(self) -> bool:
+    def cancel(self) -> bool:
         """False if its answer has been written, or is being written."""
-        return self._move(State.GIVEN_UP, State.OPEN, State.DECIDED)
+        return self._move(TransactionState.CANCELLED, TransactionState.OPEN, TransactionState.DECIDED)
 
-    def _final(self, made: Callable[[], Message], stands: bool = False) -> None:
+    def _send_final_answer(
+        self, build_response: Callable[[], Message], establishes_call: bool = False
+    ) -> None:
         """Queued before the set-up counts as closed: in between, the connection would look idle."""
-        if not self._move(State.DECIDED, State.OPEN):
+        if not self._move(TransactionState.DECIDED, TransactionState.OPEN):
             record("answer_dropped", call=self.invite.call_id, state=self._state.value)
             return
         steps.at(steps.ANSWERED)
-        if stands:
+        if establishes_call:
             self.link.trust = 2
-        self.link.send(made(), wanted=self._begins)
+        self.link.send(build_response(), wanted=self._begin_write)
         steps.at(steps.QUEUED)
-        self.front.closed_set_up(self)
+        self.registry.transaction_answered(self)
 
-    def _begins(self) -> bool:
+    def _begin_write(self) -> bool:
         """Asked by the writer: whether the answer still goes out."""
-        if self._move(State.WRITTEN, State.DECIDED):
+        if self._move(TransactionState.WRITTEN, TransactionState.DECIDED):
             return True
         record("answer_dropped", call=self.invite.call_id, state=self._state.value)
         return False
 
     def release(self, cause: int) -> None:
-        self.front.release(self.invite.call_id, cause, self.link)
+        self.registry.release(self.invite.call_id, cause, self.link)
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -12,9 +12,9 @@
 from landingdeal.core.events import Budgets, News
 from landingdeal.core.lifecycle import Lifecycle, times_before_kill
 from landingdeal.net.bus import BusReader
-from landingdeal.net.callers import Callers
+from landingdeal.net.callers import CallerConnections
 from landingdeal.net.config import Config, TopologyEvent, read_config
-from landingdeal.net.hubs import Hubs
+from landingdeal.net.hubs import HubConnections
 from landingdeal.service.life import run
 from landingdeal.service.signals import Signals
 from landingdeal.threads import start_lasting_thread
@@ -39,8 +39,8 @@
     config, contracted = read_platform(path), read_contracts_of(where)
     longest = max(kind.deadline_ms for kind in config.settings.classes)
     inbox, life = Inbox(), Lifecycle(times_before_kill(longest))
-    hubs = Hubs(config.settings, inbox, f"{config.host}:{config.port}", config.dial_ms)
-    callers = Callers(config.settings, inbox, config.host, config.port, config.sockets, life)
+    hubs = HubConnections(config.settings, inbox, f"{config.host}:{config.port}", config.dial_ms)
+    callers = CallerConnections(config.settings, inbox, config.host, config.port, config.sockets, life)
     contracts = Contracts(contracted)
     broker = Broker(config.settings, config.seed, inbox, hubs, callers.release, contracts, life)
 
--- a/landingdeal/sip/transport.py
+++ b/landingdeal/sip/transport.py
@@ -11,7 +11,7 @@
 from landingdeal.clock import now_ms
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import say
-from landingdeal.net.link import Door, Link, dial
+from landingdeal.net.link import Acceptor, Link, dial
 from landingdeal.sip.message import MAX_MESSAGE, Malformed, Message, decode_datagram, encode
 from landingdeal.sip.transaction import Flow
 from landingdeal.threads import start_thread
@@ -121,7 +121,7 @@
 
     def start(self) -> None:
         self.life.doors += 1
-        self.door = Door(self.host, self.port, self._accepted, lambda: self.life.accepts, self._shut)
+        self.door = Acceptor(self.host, self.port, self._accepted, lambda: self.life.accepts, self._shut)
         self.life.watchers.append(self.door.wake)
         start_thread("udp", self._read_udp)
 
--- a/tests/rig/front.py
+++ b/tests/rig/front.py
@@ -13,7 +13,7 @@
 from landingdeal.core.events import Offer
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.lab.ports import free_port
-from landingdeal.net.callers import Callers
+from landingdeal.net.callers import CallerConnections
 from landingdeal.sip.message import encode, request
 from tests.scenario import BODY, PATIENCE_S, SETTINGS
 
@@ -41,8 +41,8 @@
     def __init__(self) -> None:
         self.inbox, self.life = Inbox(), Lifecycle()
         settings = read_settings(json.dumps(SETTINGS).encode())
-        self.callers = Callers(settings, self.inbox, "127.0.0.1", free_port(), 1024, self.life)
-        self.where = self.callers.door.listener.getsockname()
+        self.callers = CallerConnections(settings, self.inbox, "127.0.0.1", free_port(), 1024, self.life)
+        self.where = self.callers.acceptor.listener.getsockname()
         self.sock = socket.create_connection(self.where)
         self.sock.settimeout(PATIENCE_S)
 
@@ -60,8 +60,8 @@
 
     def sweep(self) -> None:
         """Too many connections are held: whoever may go goes."""
-        self.callers.links_most = 0
-        self.callers._sweep()
+        self.callers.max_links = 0
+        self.callers._close_surplus()
 
     def gone(self) -> bool:
         """Whether our connection has been closed; what is left to read stays there."""
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -200,7 +200,9 @@
     front.set_up("a")
     gate.held()
     front.set_up("b")
-    front.callers.closed_set_up(next(iter(front.callers.links.values()), {})["a"])  # as if it were answered
+    front.callers.transaction_answered(
+        next(iter(front.callers.links.values()), {})["a"]
+    )  # as if it were answered
     until = now_ms() + 200
     while now_ms() < until:
         front.sweep()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -24,10 +24,10 @@
 from landingdeal.core.events import Attempt, Ended, HubDied, Offer, Probed
 from landingdeal.lab.ports import free_port
 from landingdeal.net.bus import BusReader
-from landingdeal.net.callers import Callers
+from landingdeal.net.callers import CallerConnections
 from landingdeal.net.config import HubAddress, TopologyEvent
-from landingdeal.net.hubs import Hub, Hubs
-from landingdeal.net.link import QUEUE_MOST, CallerLink, HubLink, Link
+from landingdeal.net.hubs import Hub, HubConnections
+from landingdeal.net.link import MAX_QUEUED_MESSAGES, CallerLink, HubLink, Link
 from landingdeal.net.transaction import CallerTransaction
 from landingdeal.sip.message import Message, encode, request
 from landingdeal.threads import start_lasting_thread, start_thread
@@ -356,7 +356,7 @@
     sent = 0
     while sent < 20000 and link.send(bulky):  # never waits
         sent += 1
-    assert QUEUE_MOST <= sent < 20000 and not link.alive
+    assert MAX_QUEUED_MESSAGES <= sent < 20000 and not link.alive
     assert ended.get(timeout=5) is False
     far.close()
 
@@ -408,9 +408,9 @@
 
 def test_callers_that_ask_once_and_hold_on_make_room_for_others() -> None:
     settings = read_settings(json.dumps(SETTINGS).encode())
-    callers = Callers(settings, Inbox(), "127.0.0.1", free_port(), 20)
+    callers = CallerConnections(settings, Inbox(), "127.0.0.1", free_port(), 20)
     callers.ready.set()
-    where = callers.door.listener.getsockname()
+    where = callers.acceptor.listener.getsockname()
     asked = b"OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
     held = []
     for _ in range(60):
@@ -422,14 +422,14 @@
     while len(callers.links) > 8 and now_ms() < until:
         time.sleep(0.01)
     assert len(callers.links) <= 8
-    callers.door.listener.close()
+    callers.acceptor.listener.close()
     for sock in held:
         sock.close()
 
 
 def test_a_silent_hub_is_written_off_once_before_eight_seconds() -> None:
     inbox = Inbox()
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     hub = hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     last = hub.heard_ms
     for later in (2000, 6900, 7250, 7500, 9000):
@@ -438,7 +438,7 @@
 
 
 def test_a_hub_that_was_gone_is_connected_to_again_whatever_is_left_of_it() -> None:
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
         where = f"127.0.0.1:{server.getsockname()[1]}"
@@ -460,7 +460,7 @@
 
 def test_hubs_that_are_gone_leave_nothing_behind() -> None:
     inbox = Inbox()
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
         where, until = f"127.0.0.1:{server.getsockname()[1]}", now_ms() + 5000
@@ -486,7 +486,7 @@
 @pytest.mark.parametrize("restarted", [True, False])
 def test_a_connection_that_fell_silent_is_replaced_and_only_a_reset_is_a_restart(restarted: bool) -> None:
     inbox = Inbox()
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
         hubs.known(b"h", f"127.0.0.1:{server.getsockname()[1]}", False)
@@ -538,7 +538,7 @@
 
 
 def test_time_outs_tell_apart_a_mute_connection_from_a_slow_hub() -> None:
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
     hub = hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     nobody = CallerTransaction(None, None, None)  # type: ignore[arg-type]
     old, new = (HubLink(socket.socketpair()[0], lambda on, m: None, lambda on, r: None) for _ in range(2))
@@ -554,7 +554,7 @@
 
 def test_a_probe_without_an_answer_is_told_as_failed() -> None:
     inbox = Inbox()
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     hubs.probe(b"h", now_ms() + 250)
     hubs.watch(now_ms() + 251)
@@ -637,8 +637,8 @@
         assert ended.get(timeout=5) is reset
 
 
-def hub_without_a_connection(inbox: Inbox) -> tuple[Hubs, Attempt]:
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
+def hub_without_a_connection(inbox: Inbox) -> tuple[HubConnections, Attempt]:
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
     hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     nobody = CallerTransaction(None, None, None)  # type: ignore[arg-type]
     offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", nobody)
