--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -73,9 +73,9 @@
         steps.at(steps.CLOSING)
         with self.lock:
             open_here = self.links.get(link)
-            if open_here is None or not may_go(link.held(len(open_here))):
+            if open_here is None or not may_go(link.pending_work(len(open_here))):
                 return False
-            link.end("not needed")
+            link.close_with_reason("not needed")
         return True
 
     def _accepted(self, sock: socket.socket) -> None:
@@ -101,7 +101,7 @@
     def _trusted(self, link: CallerLink) -> None:
         """What it sends is whole: releases that nobody was there to hear go out here."""
         with self.lock:
-            link.trust = max(link.trust, 1)
+            link.trust_level = max(link.trust_level, 1)
             unheard, self.unheard = self.unheard, OrderedDict()
         for call, (at, cause) in unheard.items():
             if now_ms() - at < UNHEARD_MS:
@@ -117,7 +117,10 @@
             self.swept_ms = now
             idle = [link for link, open_here in self.links.items() if link.alive and not open_here]
         most = crowded
-        told = (Idler(n, link.heard_ms, link.began_ms, link.trust > 0) for n, link in enumerate(idle))
+        told = (
+            Idler(n, link.last_received_ms, link.opened_ms, link.trust_level > 0)
+            for n, link in enumerate(idle)
+        )
         for number in spare(told, crowded, now):
             closed = self._close_if_idle(idle[number])
             most -= closed
@@ -137,7 +140,8 @@
                 del self.settled[key]
             again = [(c, k) for at, c, k, to in self.told if to is link and now_ms() - at < SETTLE_MS]
             self._settled()
-        record("caller_closed", link=link.number, why=link.why or ("reset" if reset else "by the caller"),
+        record("caller_closed", link=link.number,
+               why=link.close_reason or ("reset" if reset else "by the caller"),
                open=len(open_here), unsent=link.unsent())  # fmt: skip
         for call, caller in open_here.items():
             self.inbox.tell(Withdrawn(call, caller))
@@ -203,7 +207,7 @@
         except (ValueError, KeyError):
             link.send(response(message, 400))
             return
-        if self.unheard or not link.trust:
+        if self.unheard or not link.trust_level:
             self._trusted(link)
         with self.lock:
             open_here = self.links.get(link, {})
@@ -227,9 +231,13 @@
         with self.lock:
             if first is None or first not in self.links or not first.alive:
                 # guards against telling it to whoever just connected, or asked for nothing that can stand
-                heard = (link for link in self.links if link.alive and link.trust)
+                heard = (link for link in self.links if link.alive and link.trust_level)
                 # one with a set-up open is not about to be closed by its caller
-                best = max(heard, key=lambda on: (on.trust, bool(self.links[on]), on.heard_ms), default=None)
+                best = max(
+                    heard,
+                    key=lambda on: (on.trust_level, bool(self.links[on]), on.last_received_ms),
+                    default=None,
+                )
                 first = best
             if first is None:
                 self.unheard[call] = (now_ms(), cause)
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -53,7 +53,7 @@
         self.releases: list[str] = []  # to be told once there is a connection
         self.probes: dict[str, Probing] = {}
         self.gone = self.kept = self.draining = False  # kept: its keeper runs
-        self.heard_ms = self.connected_ms = now_ms()
+        self.last_received_ms = self.connected_ms = now_ms()
         self.refused, self.reset_ms = 0, 0.0  # connects refused in a row; a reset that may be its death
         self.cut_ms = 0.0  # the last reset
         self.doubted_ms = 0.0
@@ -120,7 +120,7 @@
             old.host, old.port = "", 0
             old.wake.notify()
         for link in links:
-            link.end("another has its address")
+            link.close_with_reason("another has its address")
         self.inbox.tell(HubDied(old.name, now_ms()))
 
     def start(self) -> None:
@@ -144,18 +144,20 @@
             with hub.wake:
                 late = [key for key, probing in hub.probes.items() if now > probing.deadline_ms]
                 lost = [hub.probes.pop(key) for key in late]
-                silent = now - hub.heard_ms
+                silent = now - hub.last_received_ms
                 if hub.link is not None and (silent > QUIET_MS or self._mute(hub, hub.link, now)):
                     hub.doubted_ms = now
                     self._doubt(hub)
                 if silent > SILENT_MS and not hub.written_off:
                     died = hub.written_off = True
                 old = [link for link in hub.open if link is not hub.link]
-                spare = [link for link in old if not hub.open[link] and link.heard_ms > link.asked_ms > 0]
+                spare = [
+                    link for link in old if not hub.open[link] and link.last_received_ms > link.probed_ms > 0
+                ]
                 if hub.link is not None:
-                    unsure = [link for link in old if not link.asked_ms]
+                    unsure = [link for link in old if not link.probed_ms]
                 for link in unsure:
-                    link.asked_ms, link.replaced_ms = now, hub.connected_ms
+                    link.probed_ms, link.replaced_ms = now, hub.connected_ms
                 # what is open there ends with it, and goes out again
                 spare += [link for link in old if self._forsaken(hub, link, now)]
                 if hub.gone and hub.written_off:
@@ -166,7 +168,7 @@
                 # replaced while it was silent: a process that was restarted meanwhile answers with a reset
                 link.send(self._test(f"{0:016x}"))
             for link in spare:
-                link.end("replaced, or gone and silent")
+                link.close_with_reason("replaced, or gone and silent")
             if died:
                 say(f"{hub.name!r} has said nothing for {silent / 1000:.1f} s: its calls are taken as over")
                 self.inbox.tell(HubDied(hub.name, now))
@@ -176,17 +178,21 @@
 
     def _mute(self, hub: Hub, link: HubLink, now: float) -> bool:
         """Guards against a connection that falls silent while its lab hub goes on answering on others."""
-        return link.mute_for(now) > self.mute_ms and now - hub.doubted_ms > DOUBT_EVERY_MS
+        return link.unresponsive_for_ms(now) > self.mute_ms and now - hub.doubted_ms > DOUBT_EVERY_MS
 
     @staticmethod
     def _forsaken(hub: Hub, link: HubLink, now: float) -> bool:
         """Nothing on it will be answered any more: others are, or too long has passed."""
-        since = link.asked_ms
-        others = hub.link is not None and hub.link.final_ms > since
-        return since > 0 and link.heard_ms < since and now - since > (ASKED_MS if others else MUTE_MOST_MS)
+        since = link.probed_ms
+        others = hub.link is not None and hub.link.last_answer_ms > since
+        return (
+            since > 0
+            and link.last_received_ms < since
+            and now - since > (ASKED_MS if others else MUTE_MOST_MS)
+        )
 
     def _heard(self, hub: Hub) -> None:
-        hub.heard_ms, hub.written_off = now_ms(), False
+        hub.last_received_ms, hub.written_off = now_ms(), False
 
     def connected(self) -> bool:
         with self.lock:
@@ -275,7 +281,7 @@
             hub.wake.notify()
             if reset and not doubted:
                 hub.reset_ms = hub.cut_ms = before
-        how = "reset" if reset else f"closed: {link.why}" if link.why else "closed"
+        how = "reset" if reset else f"closed: {link.close_reason}" if link.close_reason else "closed"
         say(f"connection to {hub.name!r} ended ({how}, {len(cut)} set-ups open)")
         for attempt in cut:
             # given up with its connection, which proves nothing of its lab hub: one that is gone refuses the
@@ -330,8 +336,8 @@
             if here is None or not link.send(message):
                 return False
             here[offer.call] = attempt
-            if link.unanswered_ms <= link.heard_ms:
-                link.unanswered_ms = now_ms()
+            if link.first_unanswered_ms <= link.last_received_ms:
+                link.first_unanswered_ms = now_ms()
         return True
 
     def cancel(self, attempt: Attempt) -> bool:
@@ -347,13 +353,13 @@
             )
             if link is not None:
                 del hub.open[link][attempt.offer.call]
-                link.given_up[attempt.offer.call] = None
-                if len(link.given_up) > GIVEN_UP_MOST:
-                    link.given_up.pop(next(iter(link.given_up)))
-            mute = link is not None and link is not hub.link and link.heard_ms < attempt.sent_ms
-            mute = mute and hub.link is not None and hub.link.final_ms > attempt.sent_ms
+                link.cancelled_calls[attempt.offer.call] = None
+                if len(link.cancelled_calls) > GIVEN_UP_MOST:
+                    link.cancelled_calls.pop(next(iter(link.cancelled_calls)))
+            mute = link is not None and link is not hub.link and link.last_received_ms < attempt.sent_ms
+            mute = mute and hub.link is not None and hub.link.last_answer_ms > attempt.sent_ms
             waited = now_ms() - attempt.sent_ms > self.dial_ms  # a caller may call off at once
-            if hub.link is not None and waited and hub.link.heard_ms < attempt.sent_ms:
+            if hub.link is not None and waited and hub.link.last_received_ms < attempt.sent_ms:
                 self._doubt(hub)
             if link is not None:
                 call, uri = attempt.offer.call, attempt.offer.uri
@@ -420,17 +426,17 @@
 
     def _final(self, hub: Hub, link: HubLink, message: Message) -> None:
         call = message.call_id
-        link.final_ms = now_ms()
+        link.last_answer_ms = now_ms()
         with hub.wake:
             here = hub.open.get(link, {})
-            if call not in here and call not in link.given_up:
+            if call not in here and call not in link.cancelled_calls:
                 record("answer_ignored", call=call, hub=hub.name, status=message.status)
                 return  # a second copy, or of an id that is not ours: what stands is not touched by it
             if message.status < 300 and not is_description(message.body):
                 # its set-up stays open here, and ends with the connection
                 raise BrokenFraming(f"{hub.name!r} sent what is no description")
             attempt = here.pop(call, None)
-            link.given_up.pop(call, None)
+            link.cancelled_calls.pop(call, None)
         link.send(request("ACK", attempt.offer.uri if attempt else "sip:hub@net", self.via, ("call-id", call),
                           ("cseq", f"{message.cseq[0]} ACK")))  # fmt: skip
         if attempt is None:
--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -23,16 +23,20 @@
 from landingdeal.sip.message import BrokenFraming, Framer, Malformed, Message, Oversize, encode
 from landingdeal.threads import start_lasting_thread, start_thread
 
-FOREVER = float("inf")
+NO_DEADLINE = float("inf")
 TCP_CLOSED = 7  # the state after a reset; after an orderly end of the peer it is CLOSE_WAIT, 8
-SKIP_MOST = 64 * 1024 * 1024  # of a message that is refused for its size: read and dropped up to here
+MAX_DISCARDED_BYTES = (
+    64 * 1024 * 1024
+)  # of a message that is refused for its size: read and dropped up to here
 MAX_QUEUED_MESSAGES = 512  # messages waiting for one peer; a peer that reads none of so many is cut off
-_RECEIVED = struct.Struct("128xQ")  # tcpi_bytes_received in the system's tcp_info
+_TCPI_BYTES_RECEIVED = struct.Struct("128xQ")  # tcpi_bytes_received in the system's tcp_info
 _TIMEVAL = struct.Struct("ll")  # seconds and microseconds, as the system wants them
 READ_SIZE = 16 * 1024
-THREAD_MS = 500.0  # for the system to have a thread for a connection: without one it is closed unread
-GONE_STATES = frozenset({TCP_CLOSED, 8, 9})  # CLOSE_WAIT and LAST_ACK: the peer has closed its side
-NO_ROOM_MS = 50.0  # before the next accept when the system has no descriptor left
+THREAD_START_TIMEOUT_MS = (
+    500.0  # for the system to have a thread for a connection: without one it is closed unread
+)
+CLOSED_BY_PEER_STATES = frozenset({TCP_CLOSED, 8, 9})  # CLOSE_WAIT and LAST_ACK: the peer has closed its side
+ACCEPT_RETRY_MS = 50.0  # before the next accept when the system has no descriptor left
 
 
 def dial(host: str, port: int, deadline_ms: float) -> socket.socket:
@@ -41,10 +45,10 @@
     return _connected(sock)
 
 
-def connect(sock: socket.socket, where: tuple[str, int], deadline_ms: float) -> None:
+def connect(sock: socket.socket, address: tuple[str, int], deadline_ms: float) -> None:
     """The same with a socket that is bound already."""
     sock.settimeout(max(seconds_until(deadline_ms), 0.001))
-    sock.connect(where)
+    sock.connect(address)
     _connected(sock)
 
 
@@ -54,13 +58,15 @@
     return sock
 
 
-def receive_by(sock: socket.socket, deadline_ms: float) -> None:
+def set_receive_deadline(sock: socket.socket, deadline_ms: float) -> None:
     """The next recv ends at the deadline with BlockingIOError. Only receiving: a writer is not hurried."""
-    left = 0.0 if deadline_ms == FOREVER else max(seconds_until(deadline_ms), 0.001)  # 0: no end
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, _TIMEVAL.pack(int(left), int(left % 1 * 1e6)))
+    remaining = 0.0 if deadline_ms == NO_DEADLINE else max(seconds_until(deadline_ms), 0.001)  # 0: no end
+    sock.setsockopt(
+        socket.SOL_SOCKET, socket.SO_RCVTIMEO, _TIMEVAL.pack(int(remaining), int(remaining % 1 * 1e6))
+    )
 
 
-_numbers = itertools.count(1)
+_link_numbers = itertools.count(1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,15 +74,17 @@
     """One message in the queue of a connection's writer."""
 
     data: bytes
-    wanted: Callable[[], bool] | None  # None: it goes out whatever happens
+    still_wanted: Callable[[], bool] | None  # None: it goes out whatever happens
 
 
 class Link:
     """Nobody waits on it: `send` queues, `close` only marks. `on_end` runs once, in the reader's thread."""
 
-    FIRST_MS = FOREVER  # by then, counted from the connect, a first whole message has come
-    UNFINISHED_MS = 3000.0  # by then, counted from its first byte, a message is whole
-    STUCK_S = 3  # a peer that takes nothing for so long is cut off
+    FIRST_MESSAGE_TIMEOUT_MS = (
+        NO_DEADLINE  # by then, counted from the connect, a first whole message has come
+    )
+    MESSAGE_TIMEOUT_MS = 3000.0  # by then, counted from its first byte, a message is whole
+    SEND_TIMEOUT_S = 3  # a peer that takes nothing for so long is cut off
 
     def __init__(
         self,
@@ -86,36 +94,36 @@
     ) -> None:
         self.sock = sock
         self.on_message, self.on_end = on_message, on_end
-        self.waiting: queue.Queue[Outgoing | None] = queue.Queue(MAX_QUEUED_MESSAGES)
-        self.heard_ms = self.began_ms = now_ms()
-        self.alive, self.broken = True, False
-        self.number = next(_numbers)  # for the log
-        self.why = ""  # why this side ended it; empty where the peer did
-        self.handled = 0  # bytes received that have been handled to the end
+        self.send_queue: queue.Queue[Outgoing | None] = queue.Queue(MAX_QUEUED_MESSAGES)
+        self.last_received_ms = self.opened_ms = now_ms()
+        self.alive, self.writer_failed = True, False
+        self.number = next(_link_numbers)  # for the log
+        self.close_reason = ""  # why this side ended it; empty where the peer did
+        self.handled_bytes = 0  # bytes received that have been handled to the end
 
     def start(self) -> None:
         """Raises RuntimeError where the system has no thread left, also after a while."""
-        start_thread("writer", self._write, THREAD_MS)
+        start_thread("writer", self._write, THREAD_START_TIMEOUT_MS)
         try:
-            start_thread("reader", self._read, THREAD_MS)
+            start_thread("reader", self._read, THREAD_START_TIMEOUT_MS)
         except RuntimeError:
-            self.waiting.put(None)  # the writer ends
+            self.send_queue.put(None)  # the writer ends
             raise
 
-    def send(self, message: Message, wanted: Callable[[], bool] | None = None) -> bool:
+    def send(self, message: Message, still_wanted: Callable[[], bool] | None = None) -> bool:
         """False if it is not queued. `wanted` is asked by the writer, right before the message goes out."""
         if not self.alive:
             return False
         try:
-            self.waiting.put_nowait(Outgoing(encode(message), wanted))
+            self.send_queue.put_nowait(Outgoing(encode(message), still_wanted))
         except queue.Full:  # guards the memory, and the core, against a peer that does not read
-            self.end("its peer does not read: too many messages wait")
+            self.close_with_reason("its peer does not read: too many messages wait")
             return False
         return True
 
     def unsent(self) -> int:
         """Messages that the system has not taken yet; the one that the writer holds is counted."""
-        return self.waiting.unfinished_tasks
+        return self.send_queue.unfinished_tasks
 
     def unread(self) -> bool:
         """Whether bytes have come that were not handled to the end, here or still with the system.
@@ -125,21 +133,25 @@
         thread of the program runs (the look keeps the interpreter's lock).
         """
         try:
-            told = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 192)
-            received = _RECEIVED.unpack_from(told)[0] if len(told) >= _RECEIVED.size else -1
-            if received >= self.handled:
-                return bool(received != self.handled)
+            tcp_info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 192)
+            received = (
+                _TCPI_BYTES_RECEIVED.unpack_from(tcp_info)[0]
+                if len(tcp_info) >= _TCPI_BYTES_RECEIVED.size
+                else -1
+            )
+            if received >= self.handled_bytes:
+                return bool(received != self.handled_bytes)
             # it keeps no such count: less cannot have been received than was handled
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
             return False  # nothing to read, or nobody to answer
 
-    def held(self, owed: int) -> Held:
-        return Held(owed, self.unsent(), self.unread())
+    def pending_work(self, unanswered: int) -> Held:
+        return Held(unanswered, self.unsent(), self.unread())
 
-    def end(self, why: str) -> None:
+    def close_with_reason(self, close_reason: str) -> None:
         """Closes it for a reason that the log tells."""
-        self.why = self.why or why
+        self.close_reason = self.close_reason or close_reason
         self.close()
 
     def close(self) -> None:
@@ -150,21 +162,23 @@
 
     def _write(self) -> None:
         with contextlib.suppress(OSError):  # guards the writer against a peer that takes nothing any more
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _TIMEVAL.pack(self.STUCK_S, 0))
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _TIMEVAL.pack(self.SEND_TIMEOUT_S, 0))
         while True:
-            outgoing = self.waiting.get()
-            if outgoing is None:
+            message_out = self.send_queue.get()
+            if message_out is None:
                 break
             try:
                 steps.at(steps.WRITING)
-                if outgoing.wanted is None or outgoing.wanted():
-                    self.sock.sendall(outgoing.data)
-                self.waiting.task_done()
+                if message_out.still_wanted is None or message_out.still_wanted():
+                    self.sock.sendall(message_out.data)
+                self.send_queue.task_done()
             except BlockingIOError:
-                self.why = self.why or "its peer does not read"
+                self.close_reason = self.close_reason or "its peer does not read"
                 break
             except OSError:
-                self.broken = self.alive  # guards against a reset that the writer meets before the reader
+                self.writer_failed = (
+                    self.alive
+                )  # guards against a reset that the writer meets before the reader
                 break
         self.close()
 
@@ -179,10 +193,10 @@
             reset = self.alive
         except Exception:  # guards what is open here: a handler that goes wrong must not leave it waiting
             traceback.print_exc(file=sys.stderr)
-            self._spoilt("its handler failed")
+            self._stop_reading("its handler failed")
         finally:
             self.close()
-            self._finish(reset or self.broken)
+            self._finish(reset or self.writer_failed)
 
     def _finish(self, reset: bool) -> None:
         try:
@@ -190,7 +204,7 @@
         except Exception:  # guards the descriptor and the writer's thread
             traceback.print_exc(file=sys.stderr)
         with contextlib.suppress(queue.Full):  # full: the writer is at work, and its next send fails
-            self.waiting.put_nowait(None)
+            self.send_queue.put_nowait(None)
         self.sock.close()
 
     def _read_to_the_end(self) -> bool:
@@ -198,47 +212,49 @@
         try:
             return self._receive()
         except Oversize as error:
-            self._spoilt(str(error))
-            self._skip(error)
+            self._stop_reading(str(error))
+            self._discard_rest(error)
         except BrokenFraming as error:
-            self._spoilt(str(error))
+            self._stop_reading(str(error))
         except BlockingIOError:
-            self._spoilt("a message was not whole in time")
+            self._stop_reading("a message was not whole in time")
         return False
 
     def _receive(self) -> bool:
         """Hands over message by message until the connection ends; True if the peer has reset it."""
         framer = Framer()
-        due, set_to = self.began_ms + self.FIRST_MS, FOREVER
+        due_ms, applied_due_ms = self.opened_ms + self.FIRST_MESSAGE_TIMEOUT_MS, NO_DEADLINE
         while True:
-            if due != set_to:  # guards against messages that never end, or never begin
-                receive_by(self.sock, due)
-                set_to = due
-            elif due <= now_ms():  # it comes byte by byte
+            if due_ms != applied_due_ms:  # guards against messages that never end, or never begin
+                set_receive_deadline(self.sock, due_ms)
+                applied_due_ms = due_ms
+            elif due_ms <= now_ms():  # it comes byte by byte
                 raise BlockingIOError
             data = self.sock.recv(READ_SIZE)
             if not data:
-                return self.alive and self._torn()
+                return self.alive and self._reset_by_peer()
             steps.at(steps.READ)
-            self.heard_ms = now_ms()
-            began, whole = bool(framer.held), False
+            self.last_received_ms = now_ms()
+            was_partial, completed = bool(framer.held), False
             for message in framer.feed(data):
-                whole = True
+                completed = True
                 self.on_message(self, message)
-            self.handled += len(data)
+            self.handled_bytes += len(data)
             if not framer.held:
-                due = FOREVER if whole else due
-            elif whole or not began:
-                due = min(self.heard_ms + self.UNFINISHED_MS, FOREVER if whole else due)
+                due_ms = NO_DEADLINE if completed else due_ms
+            elif completed or not was_partial:
+                due_ms = min(
+                    self.last_received_ms + self.MESSAGE_TIMEOUT_MS, NO_DEADLINE if completed else due_ms
+                )
 
-    def _spoilt(self, why: str) -> None:
-        self.why = self.why or why
-        self._unreadable()
+    def _stop_reading(self, close_reason: str) -> None:
+        self.close_reason = self.close_reason or close_reason
+        self._finish_pending_answers()
 
-    def _unreadable(self) -> None:
+    def _finish_pending_answers(self) -> None:
         """Nothing more can be read here, but what was taken may still be owed an answer. Reader's thread."""
 
-    def _torn(self) -> bool:
+    def _reset_by_peer(self) -> bool:
         """Guards against an end that looks orderly since the writer's send took the error of a reset."""
         with contextlib.suppress(OSError):
             return self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_CLOSED
@@ -249,20 +265,24 @@
         if not self.alive:
             return False
         with contextlib.suppress(OSError):
-            return self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] not in GONE_STATES
+            return (
+                self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] not in CLOSED_BY_PEER_STATES
+            )
         return True
 
-    def _skip(self, error: Oversize) -> None:
+    def _discard_rest(self, error: Oversize) -> None:
         """What becomes of a message that is too large: here its connection just ends."""
 
 
 class CallerLink(Link):
     """Whoever connects is owed a refusal, an error or a close within 3 s."""
 
-    FIRST_MS = 2000.0
-    UNFINISHED_MS = 2000.0
-    ANSWERS_MS = 700.0  # for what is open on a connection that can't be read any further to be refused
-    trust = 0  # 1: it sent what is whole, 2: a call stood; a release goes to whom it can be told
+    FIRST_MESSAGE_TIMEOUT_MS = 2000.0
+    MESSAGE_TIMEOUT_MS = 2000.0
+    REFUSAL_TIMEOUT_MS = (
+        700.0  # for what is open on a connection that can't be read any further to be refused
+    )
+    trust_level = 0  # 1: it sent what is whole, 2: a call stood; a release goes to whom it can be told
 
     def __init__(
         self,
@@ -270,37 +290,37 @@
         on_message: Callable[[CallerLink, Message | Malformed], None],
         on_end: Callable[[CallerLink, bool], None],
         on_unreadable: Callable[[CallerLink], None],
-        owed: Callable[[CallerLink], int],
+        unanswered: Callable[[CallerLink], int],
     ) -> None:
         super().__init__(sock, lambda _, message: on_message(self, message), lambda _, r: on_end(self, r))
-        self.on_unreadable, self.owed = on_unreadable, owed
+        self.on_unreadable, self.unanswered = on_unreadable, unanswered
 
-    def _unreadable(self) -> None:
+    def _finish_pending_answers(self) -> None:
         """Guards what was taken on this connection: it is refused, and written, before the close."""
         self.on_unreadable(self)
-        until = now_ms() + self.ANSWERS_MS
-        while self.alive and (self.owed(self) or self.unsent()) and now_ms() < until:
+        until = now_ms() + self.REFUSAL_TIMEOUT_MS
+        while self.alive and (self.unanswered(self) or self.unsent()) and now_ms() < until:
             time.sleep(seconds_until(min(now_ms() + 5, until)))
 
-    def _skip(self, error: Oversize) -> None:
+    def _discard_rest(self, error: Oversize) -> None:
         """Refused, then read without being kept: a close with bytes unread would overtake the refusal."""
         self.on_message(self, error.malformed)
-        left, until, into = error.rest, now_ms() + self.UNFINISHED_MS, bytearray(4 * READ_SIZE)
-        if left > SKIP_MOST:
+        remaining, until, buffer = error.rest, now_ms() + self.MESSAGE_TIMEOUT_MS, bytearray(4 * READ_SIZE)
+        if remaining > MAX_DISCARDED_BYTES:
             return
         with contextlib.suppress(OSError):
-            while left > 0 and now_ms() < until:
-                receive_by(self.sock, until)
-                count = self.sock.recv_into(into)
+            while remaining > 0 and now_ms() < until:
+                set_receive_deadline(self.sock, until)
+                count = self.sock.recv_into(buffer)
                 if not count:
                     return
-                left -= count
+                remaining -= count
 
 
 class HubLink(Link):
     """A lab hub writes its messages in one go: one that stops short has spoilt its connection."""
 
-    UNFINISHED_MS = 400.0
+    MESSAGE_TIMEOUT_MS = 400.0
 
     def __init__(
         self,
@@ -309,15 +329,17 @@
         on_end: Callable[[HubLink, bool], None],
     ) -> None:
         super().__init__(sock, lambda _, message: on_message(self, message), lambda _, r: on_end(self, r))
-        self.asked_ms = 0.0  # when it was asked whether anyone is still there, having been replaced
+        self.probed_ms = 0.0  # when it was asked whether anyone is still there, having been replaced
         self.replaced_ms = 0.0
-        self.unanswered_ms = 0.0  # the first set-up sent here since anything was heard
-        self.final_ms = 0.0  # the last answer to a set-up
-        self.given_up: dict[str, None] = {}  # set-ups called off: an answer that crossed that is released
+        self.first_unanswered_ms = 0.0  # the first set-up sent here since anything was heard
+        self.last_answer_ms = 0.0  # the last answer to a set-up
+        self.cancelled_calls: dict[
+            str, None
+        ] = {}  # set-ups called off: an answer that crossed that is released
 
-    def mute_for(self, now: float) -> float:
+    def unresponsive_for_ms(self, now: float) -> float:
         """How long set-ups have gone out here without a word coming back."""
-        return now - self.unanswered_ms if self.unanswered_ms > self.heard_ms else 0.0
+        return now - self.first_unanswered_ms if self.first_unanswered_ms > self.last_received_ms else 0.0
 
 
 class Acceptor:
@@ -370,7 +392,7 @@
                 return
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS):
-                    time.sleep(seconds_until(now_ms() + NO_ROOM_MS))
+                    time.sleep(seconds_until(now_ms() + ACCEPT_RETRY_MS))
                     return
                 continue  # it was gone before it was taken
             steps.at(steps.ACCEPTED)
--- a/landingdeal/net/transaction.py
+++ b/landingdeal/net/transaction.py
@@ -83,8 +83,8 @@
             return
         steps.at(steps.ANSWERED)
         if establishes_call:
-            self.link.trust = 2
-        self.link.send(build_response(), wanted=self._begin_write)
+            self.link.trust_level = 2
+        self.link.send(build_response(), still_wanted=self._begin_write)
         steps.at(steps.QUEUED)
         self.registry.transaction_answered(self)
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -250,7 +250,7 @@
 def test_what_is_open_is_answered_before_a_spoilt_connection_goes(
     spoilt: bytes, front: Front, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("landingdeal.net.link.CallerLink.UNFINISHED_MS", 50.0)
+    monkeypatch.setattr("landingdeal.net.link.CallerLink.MESSAGE_TIMEOUT_MS", 50.0)
     front.set_up()
     offer = front.offered()
     front.sock.sendall(spoilt)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -366,8 +366,8 @@
     ["", "INVITE x SIP/2.0\r\nX-Pad: ", "INVITE x SIP/2.0\r\nContent-Length: 9\r\n\r\nabc"],
 )
 def test_what_is_not_whole_in_time_ends_its_connection(first: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(CallerLink, "FIRST_MS", 300.0)
-    monkeypatch.setattr(CallerLink, "UNFINISHED_MS", 300.0)
+    monkeypatch.setattr(CallerLink, "FIRST_MESSAGE_TIMEOUT_MS", 300.0)
+    monkeypatch.setattr(CallerLink, "MESSAGE_TIMEOUT_MS", 300.0)
     near, far = socket.socketpair()
     ended: queue.Queue[bool] = queue.Queue()
     ended_with = lambda on, reset: ended.put(reset)  # noqa: E731
@@ -431,7 +431,7 @@
     inbox = Inbox()
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     hub = hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
-    last = hub.heard_ms
+    last = hub.last_received_ms
     for later in (2000, 6900, 7250, 7500, 9000):
         hubs.watch(last + later)
     assert [event for event in inbox.take(last)] == [HubDied(b"h", last + 7250)]
@@ -448,7 +448,7 @@
         while hub.link is None and now_ms() < until:
             time.sleep(0.01)
         hubs.known(b"h", where, True)
-        hubs.watch(hub.heard_ms + 2600)  # silent by now: its connection is in doubt, and still open
+        hubs.watch(hub.last_received_ms + 2600)  # silent by now: its connection is in doubt, and still open
         while hub.kept and now_ms() < until:
             time.sleep(0.01)
         assert hub.open and not hub.kept
@@ -500,9 +500,9 @@
         sent = Attempt(offer, 0, b"h", now_ms(), now_ms() + 1500)
         hubs.set_up(sent)
         assert first is not None
-        hubs.watch(first.unanswered_ms + 370)
+        hubs.watch(first.first_unanswered_ms + 370)
         assert hub.link is first
-        hubs.watch(first.unanswered_ms + 380)
+        hubs.watch(first.first_unanswered_ms + 380)
         new, _ = server.accept()
         while hub.link is None and now_ms() < until:
             time.sleep(0.01)
@@ -514,8 +514,8 @@
             old.close()
         else:
             assert hub.link is not None
-            hub.link.final_ms = first.asked_ms + 1  # it answers there
-            hubs.watch(first.asked_ms + 251)
+            hub.link.last_answer_ms = first.probed_ms + 1  # it answers there
+            hubs.watch(first.probed_ms + 251)
         told: list[object] = []
         while len(told) < 1 + restarted and now_ms() < until:
             told += inbox.take(until)
@@ -548,7 +548,7 @@
         hub.link, hub.open = old, {old: {"a": attempt}}
         assert not hubs.cancel(attempt)  # the hub itself may be slow
         hub.link, hub.open = new, {old: {"a": attempt}, new: {}}
-        new.final_ms = attempt.sent_ms + 1 if answered else 0.0
+        new.last_answer_ms = attempt.sent_ms + 1 if answered else 0.0
         assert hubs.cancel(attempt) is mute
 
 
@@ -666,7 +666,7 @@
     link = HubLink(near, lambda on, m: None, lambda on, r: None)
     put, cancelled = link.send, []
 
-    def send(message: Message, wanted: object = None) -> bool:
+    def send(message: Message, still_wanted: object = None) -> bool:
         """The core calls it off just as its set-up is queued."""
         if message.method == "INVITE":
             canceller = threading.Thread(target=lambda: cancelled.append(hubs.cancel(attempt)))
