--- a/landingdeal/net/bus.py
+++ b/landingdeal/net/bus.py
@@ -13,7 +13,7 @@
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
 from landingdeal.log import record, say
-from landingdeal.net.config import TopologyEvent, topology_event
+from landingdeal.net.config import TopologyEvent, parse_topology_event
 from landingdeal.net.link import dial
 from landingdeal.threads import start_lasting_thread
 
@@ -71,7 +71,7 @@
         over, since the events behind it would never be heard.
         """
         try:
-            made = topology_event(json.loads(data))
+            made = parse_topology_event(json.loads(data))
         except (ValueError, ConfigError, RecursionError) as error:
             again = number == self.unusable
             self.unusable = number
--- a/landingdeal/net/config.py
+++ b/landingdeal/net/config.py
@@ -45,7 +45,7 @@
     dial_ms: float
 
 
-def topology_event(raw: Any) -> TopologyEvent:
+def parse_topology_event(raw: Any) -> TopologyEvent:
     """Raises ConfigError on an event that is not of the event bus."""
     try:
         topology = raw["topology"]
@@ -86,7 +86,7 @@
             sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
             bus=address(raw["bus"], "bus"),
             offset=int(known["offset"]),
-            known=tuple(topology_event(event) for event in known["batch"]),
+            known=tuple(parse_topology_event(event) for event in known["batch"]),
             settings=read_settings(json.dumps(raw["settings"]).encode()),
             dial_ms=float((raw["settings"].get("caps") or {}).get("dial_timeout_ms") or 500.0),
         )
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -46,12 +46,12 @@
 
     def told(event: TopologyEvent) -> None:
         for one in event.addresses:
-            hubs.known(one.name, one.where, one.health is Health.GONE, one.health is Health.DRAINING)
+            hubs.update_hub(one.name, one.where, one.health is Health.GONE, one.health is Health.DRAINING)
         inbox.tell(News(event.change))
 
     def ready() -> None:
         until = now_ms() + READY_MS
-        while now_ms() < until and not hubs.connected():
+        while now_ms() < until and not hubs.all_connected():
             time.sleep(seconds_until(now_ms() + 5))
         callers.ready.set()
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -433,7 +433,7 @@
     hub = hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     last = hub.last_received_ms
     for later in (2000, 6900, 7250, 7500, 9000):
-        hubs.watch(last + later)
+        hubs.check_hubs(last + later)
     assert [event for event in inbox.take(last)] == [HubDied(b"h", last + 7250)]
 
 
@@ -442,17 +442,19 @@
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
         where = f"127.0.0.1:{server.getsockname()[1]}"
-        hubs.known(b"h", where, False)
+        hubs.update_hub(b"h", where, False)
         silent, _ = server.accept()
         hub, until = hubs.hubs[b"h"], now_ms() + 5000
         while hub.link is None and now_ms() < until:
             time.sleep(0.01)
-        hubs.known(b"h", where, True)
-        hubs.watch(hub.last_received_ms + 2600)  # silent by now: its connection is in doubt, and still open
-        while hub.kept and now_ms() < until:
+        hubs.update_hub(b"h", where, True)
+        hubs.check_hubs(
+            hub.last_received_ms + 2600
+        )  # silent by now: its connection is in doubt, and still open
+        while hub.keeper_running and now_ms() < until:
             time.sleep(0.01)
-        assert hub.open and not hub.kept
-        hubs.known(b"h", where, False)
+        assert hub.pending and not hub.keeper_running
+        hubs.update_hub(b"h", where, False)
         again, _ = server.accept()
         for sock in (silent, again):
             sock.close()
@@ -465,20 +467,20 @@
         server.settimeout(5)
         where, until = f"127.0.0.1:{server.getsockname()[1]}", now_ms() + 5000
         for name in (b"a", b"b"):  # the second has the address of the first, whose end is told nowhere
-            hubs.known(name, where, False)
+            hubs.update_hub(name, where, False)
             server.accept()
         old = hubs.hubs[b"a"]
-        while (old.kept or old.open) and now_ms() < until:
+        while (old.keeper_running or old.pending) and now_ms() < until:
             time.sleep(0.01)
-        assert not old.kept and not old.open
+        assert not old.keeper_running and not old.pending
         assert [type(event) for event in inbox.take(now_ms())] == [HubDied]
-        hubs.known(b"a", "", True)
-        hubs.watch(now_ms() + 7100)
-        hubs.watch(now_ms() + 7200)
+        hubs.update_hub(b"a", "", True)
+        hubs.check_hubs(now_ms() + 7100)
+        hubs.check_hubs(now_ms() + 7200)
         assert set(hubs.hubs) == {b"b"}
-        hubs.known(b"b", where, True)
+        hubs.update_hub(b"b", where, True)
         while hubs.hubs and now_ms() < until:  # silent and gone: its connection is closed and it is forgotten
-            hubs.watch(now_ms() + 7100)
+            hubs.check_hubs(now_ms() + 7100)
             time.sleep(0.01)
         assert not hubs.hubs
 
@@ -489,7 +491,7 @@
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
-        hubs.known(b"h", f"127.0.0.1:{server.getsockname()[1]}", False)
+        hubs.update_hub(b"h", f"127.0.0.1:{server.getsockname()[1]}", False)
         old, _ = server.accept()
         hub, until = hubs.hubs[b"h"], now_ms() + 5000
         while hub.link is None and now_ms() < until:
@@ -500,13 +502,13 @@
         sent = Attempt(offer, 0, b"h", now_ms(), now_ms() + 1500)
         hubs.set_up(sent)
         assert first is not None
-        hubs.watch(first.first_unanswered_ms + 370)
+        hubs.check_hubs(first.first_unanswered_ms + 370)
         assert hub.link is first
-        hubs.watch(first.first_unanswered_ms + 380)
+        hubs.check_hubs(first.first_unanswered_ms + 380)
         new, _ = server.accept()
         while hub.link is None and now_ms() < until:
             time.sleep(0.01)
-        hubs.watch(now_ms())
+        hubs.check_hubs(now_ms())
         old.settimeout(5)
         assert b"INVITE" in old.recv(1000)
         if restarted:
@@ -515,7 +517,7 @@
         else:
             assert hub.link is not None
             hub.link.last_answer_ms = first.probed_ms + 1  # it answers there
-            hubs.watch(first.probed_ms + 251)
+            hubs.check_hubs(first.probed_ms + 251)
         told: list[object] = []
         while len(told) < 1 + restarted and now_ms() < until:
             told += inbox.take(until)
@@ -545,9 +547,9 @@
     offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", nobody)
     for answered, mute in ((False, False), (True, True)):
         attempt = Attempt(offer, 0, b"h", now_ms() + 1, now_ms() + 1500)
-        hub.link, hub.open = old, {old: {"a": attempt}}
+        hub.link, hub.pending = old, {old: {"a": attempt}}
         assert not hubs.cancel(attempt)  # the hub itself may be slow
-        hub.link, hub.open = new, {old: {"a": attempt}, new: {}}
+        hub.link, hub.pending = new, {old: {"a": attempt}, new: {}}
         new.last_answer_ms = attempt.sent_ms + 1 if answered else 0.0
         assert hubs.cancel(attempt) is mute
 
@@ -557,7 +559,7 @@
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     hubs.probe(b"h", now_ms() + 250)
-    hubs.watch(now_ms() + 251)
+    hubs.check_hubs(now_ms() + 251)
     (event,) = inbox.take(now_ms())
     assert isinstance(event, Probed) and not event.well and 249 < event.latency_ms <= 250
 
@@ -650,12 +652,12 @@
     hubs, attempt = hub_without_a_connection(inbox)
     hub = hubs.hubs[b"h"]
     hubs.set_up(attempt)
-    assert hub.waiting == [attempt]
-    hub.kept = True  # no keeper is started here
-    hubs.known(b"h", "127.0.0.1:1", False, draining=True)
-    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, Ending.UNREACHABLE)]
+    assert hub.queued == [attempt]
+    hub.keeper_running = True  # no keeper is started here
+    hubs.update_hub(b"h", "127.0.0.1:1", False, draining=True)
+    assert not hub.queued and list(inbox.take(now_ms())) == [Ended(attempt, Ending.UNREACHABLE)]
     hubs.set_up(attempt)
-    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, Ending.UNREACHABLE)]
+    assert not hub.queued and list(inbox.take(now_ms())) == [Ended(attempt, Ending.UNREACHABLE)]
 
 
 def test_an_attempt_that_is_called_off_while_its_connection_comes_up_is_cancelled_after_it_was_sent() -> None:
@@ -675,12 +677,12 @@
         return put(message)
 
     link.send = send  # type: ignore[method-assign]
-    hubs._connected(hub, link)
+    hubs._on_connected(hub, link)
     far.settimeout(5)
     told = b""
     while b"CANCEL" not in told:
         told += far.recv(4096)
-    assert told.index(b"INVITE sip") < told.index(b"CANCEL sip") and not hub.open[link]
+    assert told.index(b"INVITE sip") < told.index(b"CANCEL sip") and not hub.pending[link]
     link.close()
     far.close()
 
