--- a/landingdeal/net/config.py
+++ b/landingdeal/net/config.py
@@ -10,7 +10,7 @@
 from badgerstile.wire import WireError, read_settings
 from landingdeal.errors import ConfigError, address
 
-HEALTH = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.GONE}
+HEALTH_BY_STATUS = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.GONE}
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     """One lab hub of an event, for the client side. `where` is host:port, empty where one is gone."""
 
     name: bytes
-    where: str
+    host_port: str
     health: Health
 
 
@@ -42,7 +42,7 @@
     offset: int
     known: tuple[TopologyEvent, ...]
     settings: Settings
-    dial_ms: float
+    dial_timeout_ms: float
 
 
 def parse_topology_event(raw: Any) -> TopologyEvent:
@@ -51,15 +51,15 @@
         topology = raw["topology"]
         entries, addresses = [], []
         for row in topology["endpoints"]:
-            name, health = str(row["name"]).encode(), HEALTH[row["status"]]
-            came_up = float(row.get("since_ms") or 0.0)
-            where = str(row.get("address") or "")
-            if where:
-                address(where, "an endpoint")
+            name, health = str(row["name"]).encode(), HEALTH_BY_STATUS[row["status"]]
+            up_since_ms = float(row.get("since_ms") or 0.0)
+            host_port = str(row.get("address") or "")
+            if host_port:
+                address(host_port, "an endpoint")
             elif health is not Health.GONE:
                 raise ConfigError(f"no address for {row['name']}")
-            entries.append(Listed(name, int(row["group"]) if "group" in row else -1, health, came_up))
-            addresses.append(HubAddress(name, where, health))
+            entries.append(Listed(name, int(row["group"]) if "group" in row else -1, health, up_since_ms))
+            addresses.append(HubAddress(name, host_port, health))
         kind = ListKind.WHOLE if topology.get("snapshot") else ListKind.CHANGES
         return TopologyEvent(int(raw["offset"]), ExchangeList(kind, tuple(entries)), tuple(addresses))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -88,7 +88,7 @@
             offset=int(known["offset"]),
             known=tuple(parse_topology_event(event) for event in known["batch"]),
             settings=read_settings(json.dumps(raw["settings"]).encode()),
-            dial_ms=float((raw["settings"].get("caps") or {}).get("dial_timeout_ms") or 500.0),
+            dial_timeout_ms=float((raw["settings"].get("caps") or {}).get("dial_timeout_ms") or 500.0),
         )
     except WireError as error:
         raise ConfigError(str(error)) from None
--- a/landingdeal/service/life.py
+++ b/landingdeal/service/life.py
@@ -16,7 +16,7 @@
 from landingdeal.service.signals import Signals
 from landingdeal.threads import READY_MS, start_thread
 
-LOOK_MS = 10.0  # between looks at what is still to be written when the core has ended
+FLUSH_POLL_MS = 10.0  # between looks at what is still to be written when the core has ended
 
 
 def reload(reread: Callable[[], None]) -> None:
@@ -35,15 +35,15 @@
     """Until SIGTERM, then until every call has its answer and `flush` counts nothing left to be written."""
     life = broker.life
     life.watchers.append(lambda: record("phase", now=life.phase.name))
-    signals.carry_out(lambda at_ms: broker.inbox.tell(Stop(at_ms)), lambda: reload(reread))
+    signals.handle_with(lambda at_ms: broker.inbox.tell(Stop(at_ms)), lambda: reload(reread))
     core = start_thread("core", broker.run, READY_MS)
     while core.is_alive():
         core.join(1.0)
     life.core_gone(now_ms())
     while True:
-        left = flush()
-        life.flush_looks(left, now_ms())
+        unflushed = flush()
+        life.flush_looks(unflushed, now_ms())
         if life.phase is Phase.ENDED:
             break
-        time.sleep(seconds_until(now_ms() + LOOK_MS))
-    say(f"stopped{f', {left} connections not idle' if left else ''}")
+        time.sleep(seconds_until(now_ms() + FLUSH_POLL_MS))
+    say(f"stopped{f', {unflushed} connections not idle' if unflushed else ''}")
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -19,52 +19,59 @@
 from landingdeal.service.signals import Signals
 from landingdeal.threads import start_lasting_thread
 
-READY_MS = 1000.0  # a test is passed once all lab hubs are connected, at the latest so long after the start
+READY_TIMEOUT_MS = (
+    1000.0  # a test is passed once all lab hubs are connected, at the latest so long after the start
+)
 
 
 def read_platform(path: str) -> Config:
     return read_config(Path(path).read_text(encoding="utf-8"))
 
 
-def read_contracts_of(where: str) -> tuple[Contract, ...]:
+def read_contracts(operator_path: str) -> tuple[Contract, ...]:
     """What counts here of the operator's file; without one its reader is not even imported."""
-    if not where:
+    if not operator_path:
         return ()
     from landingdeal.operator import read_operator
 
-    return read_operator(Path(where).read_text(encoding="utf-8"), platform=True).contracts
+    return read_operator(Path(operator_path).read_text(encoding="utf-8"), platform=True).contracts
 
 
-def serve(path: str, where: str, signals: Signals) -> None:
-    config, contracted = read_platform(path), read_contracts_of(where)
-    longest = max(kind.deadline_ms for kind in config.settings.classes)
-    inbox, life = Inbox(), Lifecycle(times_before_kill(longest))
-    hubs = HubConnections(config.settings, inbox, f"{config.host}:{config.port}", config.dial_ms)
+def serve(path: str, operator_path: str, signals: Signals) -> None:
+    config, initial_contracts = read_platform(path), read_contracts(operator_path)
+    longest_deadline_ms = max(call_class.deadline_ms for call_class in config.settings.classes)
+    inbox, life = Inbox(), Lifecycle(times_before_kill(longest_deadline_ms))
+    hubs = HubConnections(config.settings, inbox, f"{config.host}:{config.port}", config.dial_timeout_ms)
     callers = CallerConnections(config.settings, inbox, config.host, config.port, config.sockets, life)
-    contracts = Contracts(contracted)
+    contracts = Contracts(initial_contracts)
     broker = Broker(config.settings, config.seed, inbox, hubs, callers.release, contracts, life)
 
-    def told(event: TopologyEvent) -> None:
-        for one in event.addresses:
-            hubs.update_hub(one.name, one.where, one.health is Health.GONE, one.health is Health.DRAINING)
+    def apply_event(event: TopologyEvent) -> None:
+        for hub_address in event.addresses:
+            hubs.update_hub(
+                hub_address.name,
+                hub_address.host_port,
+                hub_address.health is Health.GONE,
+                hub_address.health is Health.DRAINING,
+            )
         inbox.tell(News(event.change))
 
-    def ready() -> None:
-        until = now_ms() + READY_MS
+    def mark_ready() -> None:
+        until = now_ms() + READY_TIMEOUT_MS
         while now_ms() < until and not hubs.all_connected():
             time.sleep(seconds_until(now_ms() + 5))
         callers.ready.set()
 
     for event in config.known:
-        told(event)
+        apply_event(event)
     hubs.start()
-    bus = BusReader(config.bus, config.offset, told)
+    bus = BusReader(config.bus, config.offset, apply_event)
 
     def reread() -> None:
-        new, budgets = read_platform(path), read_contracts_of(where)
-        bus.move(new.bus, new.known)
-        inbox.tell(Budgets(budgets))
+        new_config, new_contracts = read_platform(path), read_contracts(operator_path)
+        bus.change_address(new_config.bus, new_config.known)
+        inbox.tell(Budgets(new_contracts))
 
     bus.start()
-    start_lasting_thread("ready", ready)
+    start_lasting_thread("ready", mark_ready)
     run(broker, callers.flush, signals, reread)
--- a/landingdeal/service/signals.py
+++ b/landingdeal/service/signals.py
@@ -11,11 +11,11 @@
 from landingdeal.log import record
 from landingdeal.threads import start_lasting_thread
 
-STOPS = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 @dataclass(frozen=True, slots=True)
-class Signalled:
+class ReceivedSignal:
     number: int
     at_ms: float
 
@@ -28,23 +28,23 @@
     """
 
     def __init__(self) -> None:
-        self._came: queue.SimpleQueue[Signalled] = queue.SimpleQueue()
-        for number in (*STOPS, signal.SIGHUP):
-            signal.signal(number, self._note)
+        self._received: queue.SimpleQueue[ReceivedSignal] = queue.SimpleQueue()
+        for number in (*STOP_SIGNALS, signal.SIGHUP):
+            signal.signal(number, self._on_signal)
 
-    def _note(self, number: int, _frame: object) -> None:
-        self._came.put(Signalled(number, now_ms()))
+    def _on_signal(self, number: int, _frame: object) -> None:
+        self._received.put(ReceivedSignal(number, now_ms()))
 
-    def carry_out(self, stop: Callable[[float], None], reread: Callable[[], None]) -> None:
+    def handle_with(self, stop: Callable[[float], None], reread: Callable[[], None]) -> None:
         """`stop` is given the time of its signal; SIGHUP is for `reread`. Neither may raise."""
 
-        def work() -> None:
+        def handle_signals() -> None:
             while True:
-                came = self._came.get()
-                record("signal", number=came.number)
-                if came.number in STOPS:
-                    stop(came.at_ms)
+                received = self._received.get()
+                record("signal", number=received.number)
+                if received.number in STOP_SIGNALS:
+                    stop(received.at_ms)
                 else:
                     reread()
 
-        start_lasting_thread("signals", work)
+        start_lasting_thread("signals", handle_signals)
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -21,37 +21,46 @@
 from landingdeal.sip.capture import Capture
 from landingdeal.sip.front import SipFront
 
-SINK_MS = 2000.0  # for what waits to be written to a capture at the end
-RELEASES_MS = 2000.0  # for the SIP front's last releases to be answered
+CAPTURE_FLUSH_MS = 2000.0  # for what waits to be written to a capture at the end
+RELEASE_FLUSH_MS = 2000.0  # for the SIP front's last releases to be answered
 
 
-def read_operator_file(where: str) -> Operator:
-    return read_operator(Path(where).read_text(encoding="utf-8")) if where else Operator()
+def read_operator_file(operator_path: str) -> Operator:
+    return read_operator(Path(operator_path).read_text(encoding="utf-8")) if operator_path else Operator()
 
 
-def serve(where: str, signals: Signals) -> None:
+def serve(operator_path: str, signals: Signals) -> None:
     """Raises ConfigError and OSError."""
-    operator = read_operator_file(where)
+    operator = read_operator_file(operator_path)
     if operator.sip is None:
         raise ConfigError("neither ROUTER_CONFIG nor an operator's file with the SIP front enabled is named")
-    _serve(operator, where, signals)
+    _serve_operator(operator, operator_path, signals)
 
 
-def _serve(operator: Operator, where: str, signals: Signals) -> None:
+def _serve_operator(operator: Operator, operator_path: str, signals: Signals) -> None:
     assert operator.sip is not None and operator.settings is not None
-    longest = max(kind.deadline_ms for kind in operator.settings.classes)
-    inbox, life = Inbox(), Lifecycle(times_before_kill(longest, RELEASES_MS))
+    longest_deadline_ms = max(call_class.deadline_ms for call_class in operator.settings.classes)
+    inbox, life = Inbox(), Lifecycle(times_before_kill(longest_deadline_ms, RELEASE_FLUSH_MS))
     seed = int.from_bytes(os.urandom(8), "big")
-    told, listen = operator.capture or CaptureSettings(), (operator.sip.host, operator.sip.port)
-    sink = Sink(told.write, told.bounds, told.compress) if told.write is not None else None
+    capture_settings, listen_address = (
+        operator.capture or CaptureSettings(),
+        (operator.sip.host, operator.sip.port),
+    )
+    sink = (
+        Sink(capture_settings.write, capture_settings.bounds, capture_settings.compress)
+        if capture_settings.write is not None
+        else None
+    )
     front = SipFront(operator.sip, operator.settings, inbox, seed, life, sink)
-    capture = Capture(told.read, sink, listen) if told.read else None
+    capture = Capture(capture_settings.read, sink, listen_address) if capture_settings.read else None
     contracts = Contracts(operator.contracts)
     broker = Broker(operator.settings, seed, inbox, front, lambda call, cause: None, contracts, life)
-    listed = tuple(Listed(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
-    inbox.tell(News(ExchangeList(ListKind.REMEMBERED, listed)))
+    entries = tuple(Listed(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
+    inbox.tell(News(ExchangeList(ListKind.REMEMBERED, entries)))
     front.start(capture)
     say(f"SIP front on {operator.sip.host}:{operator.sip.port}, UDP and TCP")
-    run(broker, front.flush, signals, lambda: inbox.tell(Budgets(read_operator_file(where).contracts)))
+    run(
+        broker, front.flush, signals, lambda: inbox.tell(Budgets(read_operator_file(operator_path).contracts))
+    )
     if sink is not None:
-        sink.end(now_ms() + SINK_MS)
+        sink.end(now_ms() + CAPTURE_FLUSH_MS)
