--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -1,4 +1,4 @@
-"""One TCP connection that carries SIP messages: a reader, a writer and a bounded queue between."""
+"""TCP connections that carry SIP messages: each has a reader, a writer and a bounded send queue."""
 
 from __future__ import annotations
 
@@ -24,43 +24,39 @@
 from landingdeal.threads import start_lasting_thread, start_thread
 
 NO_DEADLINE = float("inf")
-TCP_CLOSED = 7  # the state after a reset; after an orderly end of the peer it is CLOSE_WAIT, 8
-MAX_DISCARDED_BYTES = (
-    64 * 1024 * 1024
-)  # of a message that is refused for its size: read and dropped up to here
-MAX_QUEUED_MESSAGES = 512  # messages waiting for one peer; a peer that reads none of so many is cut off
-_TCPI_BYTES_RECEIVED = struct.Struct("128xQ")  # tcpi_bytes_received in the system's tcp_info
-_TIMEVAL = struct.Struct("ll")  # seconds and microseconds, as the system wants them
+TCP_CLOSED = 7  # TCP state after a reset; after an orderly close by the peer it is CLOSE_WAIT, 8
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # of an oversized message that is refused, then read and dropped
+MAX_QUEUED_MESSAGES = 512  # per connection; a peer that leaves so many messages unread is disconnected
+_TCPI_BYTES_RECEIVED = struct.Struct("128xQ")  # field tcpi_bytes_received of struct tcp_info
+_TIMEVAL = struct.Struct("ll")  # struct timeval: seconds and microseconds
 READ_SIZE = 16 * 1024
-THREAD_START_TIMEOUT_MS = (
-    500.0  # for the system to have a thread for a connection: without one it is closed unread
-)
+THREAD_START_TIMEOUT_MS = 500.0  # a connection that gets no thread by then is closed unread
 CLOSED_BY_PEER_STATES = frozenset({TCP_CLOSED, 8, 9})  # CLOSE_WAIT and LAST_ACK: the peer has closed its side
-ACCEPT_RETRY_MS = 50.0  # before the next accept when the system has no descriptor left
+ACCEPT_RETRY_MS = 50.0  # pause after the system has run out of descriptors
 
 
 def dial(host: str, port: int, deadline_ms: float) -> socket.socket:
-    """A connected socket, or OSError at the deadline at the latest."""
+    """Returns a connected socket; raises OSError by the deadline at the latest."""
     sock = socket.create_connection((host, port), timeout=max(seconds_until(deadline_ms), 0.001))
-    return _connected(sock)
+    return _set_blocking(sock)
 
 
 def connect(sock: socket.socket, address: tuple[str, int], deadline_ms: float) -> None:
-    """The same with a socket that is bound already."""
+    """Connects a socket that is already bound; raises OSError by the deadline at the latest."""
     sock.settimeout(max(seconds_until(deadline_ms), 0.001))
     sock.connect(address)
-    _connected(sock)
+    _set_blocking(sock)
 
 
-def _connected(sock: socket.socket) -> socket.socket:
+def _set_blocking(sock: socket.socket) -> socket.socket:
     sock.settimeout(None)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def set_receive_deadline(sock: socket.socket, deadline_ms: float) -> None:
-    """The next recv ends at the deadline with BlockingIOError. Only receiving: a writer is not hurried."""
-    remaining = 0.0 if deadline_ms == NO_DEADLINE else max(seconds_until(deadline_ms), 0.001)  # 0: no end
+    """Lets the next recv fail with BlockingIOError at the deadline. Sending has a timeout of its own."""
+    remaining = 0.0 if deadline_ms == NO_DEADLINE else max(seconds_until(deadline_ms), 0.001)  # 0: no timeout
     sock.setsockopt(
         socket.SOL_SOCKET, socket.SO_RCVTIMEO, _TIMEVAL.pack(int(remaining), int(remaining % 1 * 1e6))
     )
@@ -71,20 +67,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """One message in the queue of a connection's writer."""
+    """One message in the send queue of a connection."""
 
     data: bytes
-    still_wanted: Callable[[], bool] | None  # None: it goes out whatever happens
+    still_wanted: Callable[[], bool] | None  # None: the message is always sent
 
 
 class Link:
-    """Nobody waits on it: `send` queues, `close` only marks. `on_end` runs once, in the reader's thread."""
+    """One TCP connection with a peer. No method waits for the peer.
 
-    FIRST_MESSAGE_TIMEOUT_MS = (
-        NO_DEADLINE  # by then, counted from the connect, a first whole message has come
-    )
-    MESSAGE_TIMEOUT_MS = 3000.0  # by then, counted from its first byte, a message is whole
-    SEND_TIMEOUT_S = 3  # a peer that takes nothing for so long is cut off
+    `send` queues, `close` does not wait for the threads, and `on_end` runs once, in the reader's thread.
+    """
+
+    FIRST_MESSAGE_TIMEOUT_MS = NO_DEADLINE  # from the connect to the end of the first message
+    MESSAGE_TIMEOUT_MS = 3000.0  # from the first byte of a message to its last
+    SEND_TIMEOUT_S = 3  # a peer that reads nothing for so long is disconnected
 
     def __init__(
         self,
@@ -97,40 +94,43 @@
         self.send_queue: queue.Queue[Outgoing | None] = queue.Queue(MAX_QUEUED_MESSAGES)
         self.last_received_ms = self.opened_ms = now_ms()
         self.alive, self.writer_failed = True, False
-        self.number = next(_link_numbers)  # for the log
-        self.close_reason = ""  # why this side ended it; empty where the peer did
-        self.handled_bytes = 0  # bytes received that have been handled to the end
+        self.number = next(_link_numbers)  # identifies the connection in the log
+        self.close_reason = ""  # why this side closed it; empty if the peer did
+        self.handled_bytes = 0  # bytes received whose messages have been handled
 
     def start(self) -> None:
-        """Raises RuntimeError where the system has no thread left, also after a while."""
+        """Starts both threads; raises RuntimeError if the system still refuses one after the timeout."""
         start_thread("writer", self._write, THREAD_START_TIMEOUT_MS)
         try:
             start_thread("reader", self._read, THREAD_START_TIMEOUT_MS)
         except RuntimeError:
-            self.send_queue.put(None)  # the writer ends
+            self.send_queue.put(None)  # ends the writer
             raise
 
     def send(self, message: Message, still_wanted: Callable[[], bool] | None = None) -> bool:
-        """False if it is not queued. `wanted` is asked by the writer, right before the message goes out."""
+        """Queues a message; False if the connection has ended or its queue is full.
+
+        The writer calls `still_wanted` right before it sends the message, and drops it on False.
+        """
         if not self.alive:
             return False
         try:
             self.send_queue.put_nowait(Outgoing(encode(message), still_wanted))
-        except queue.Full:  # guards the memory, and the core, against a peer that does not read
+        except queue.Full:  # bounds the memory; the core never waits for a peer that does not read
             self.close_with_reason("its peer does not read: too many messages wait")
             return False
         return True
 
     def unsent(self) -> int:
-        """Messages that the system has not taken yet; the one that the writer holds is counted."""
+        """Number of messages not yet handed to the system, the one that the writer is sending included."""
         return self.send_queue.unfinished_tasks
 
     def unread(self) -> bool:
-        """Whether bytes have come that were not handled to the end, here or still with the system.
+        """Whether bytes have been received that are not handled yet, in this process or in the kernel.
 
-        Compares what the system has received with what was handled: a look into the system's buffer would
-        miss what the reader has just taken from there. Between this look and a close right after it no other
-        thread of the program runs (the look keeps the interpreter's lock).
+        Compares the kernel's count of received bytes with the handled ones: the receive buffer alone would
+        not show what the reader has just taken from it. No other thread of the program runs between this
+        check and a close right after it, since the check does not release the interpreter lock.
         """
         try:
             tcp_info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 192)
@@ -141,27 +141,27 @@
             )
             if received >= self.handled_bytes:
                 return bool(received != self.handled_bytes)
-            # it keeps no such count: less cannot have been received than was handled
+            # the kernel keeps no such count: it would never be below the handled bytes
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
-            return False  # nothing to read, or nobody to answer
+            return False  # nothing to read, or the connection has failed
 
     def pending_work(self, unanswered: int) -> Held:
         return Held(unanswered, self.unsent(), self.unread())
 
     def close_with_reason(self, close_reason: str) -> None:
-        """Closes it for a reason that the log tells."""
+        """Closes the connection; the first reason given is logged."""
         self.close_reason = self.close_reason or close_reason
         self.close()
 
     def close(self) -> None:
-        """Both threads see it: the reader at once, the writer when its queue is empty or its send fails."""
+        """Ends both threads: the reader at once, the writer when its queue is empty or a send fails."""
         self.alive = False
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def _write(self) -> None:
-        with contextlib.suppress(OSError):  # guards the writer against a peer that takes nothing any more
+        with contextlib.suppress(OSError):  # a peer that does not read must not block the writer forever
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _TIMEVAL.pack(self.SEND_TIMEOUT_S, 0))
         while True:
             message_out = self.send_queue.get()
@@ -176,22 +176,20 @@
                 self.close_reason = self.close_reason or "its peer does not read"
                 break
             except OSError:
-                self.writer_failed = (
-                    self.alive
-                )  # guards against a reset that the writer meets before the reader
+                self.writer_failed = self.alive  # the reader may then not see the reset itself
                 break
         self.close()
 
     def _read(self) -> None:
-        """The reader's thread. However it goes wrong, the connection ends and `on_end` is called."""
+        """Runs in the reader's thread. On any error the connection is closed and `on_end` is called."""
         reset = False
         try:
             reset = self._read_to_the_end()
         except OSError:
-            # guards against taking our own close for the death of the peer: what is still under way from
-            # there then comes back as a reset too, and its standing calls would be thrown away
+            # after a close of our own, data still in flight from the peer causes a reset too; taking that for
+            # a failure of the peer would release its established calls
             reset = self.alive
-        except Exception:  # guards what is open here: a handler that goes wrong must not leave it waiting
+        except Exception:  # a failing handler must not leave this connection's set-ups unanswered
             traceback.print_exc(file=sys.stderr)
             self._stop_reading("its handler failed")
         finally:
@@ -201,14 +199,14 @@
     def _finish(self, reset: bool) -> None:
         try:
             self.on_end(self, reset)
-        except Exception:  # guards the descriptor and the writer's thread
+        except Exception:  # the writer must end and the descriptor be freed all the same
             traceback.print_exc(file=sys.stderr)
-        with contextlib.suppress(queue.Full):  # full: the writer is at work, and its next send fails
+        with contextlib.suppress(queue.Full):  # full: the writer is busy, and its next send fails
             self.send_queue.put_nowait(None)
         self.sock.close()
 
     def _read_to_the_end(self) -> bool:
-        """True if the peer has reset the connection."""
+        """Reads until the connection ends; True if the peer has reset it."""
         try:
             return self._receive()
         except Oversize as error:
@@ -221,14 +219,14 @@
         return False
 
     def _receive(self) -> bool:
-        """Hands over message by message until the connection ends; True if the peer has reset it."""
+        """Passes each message to `on_message` until the connection ends; True if the peer has reset it."""
         framer = Framer()
         due_ms, applied_due_ms = self.opened_ms + self.FIRST_MESSAGE_TIMEOUT_MS, NO_DEADLINE
         while True:
-            if due_ms != applied_due_ms:  # guards against messages that never end, or never begin
+            if due_ms != applied_due_ms:  # ends connections whose message never begins or never ends
                 set_receive_deadline(self.sock, due_ms)
                 applied_due_ms = due_ms
-            elif due_ms <= now_ms():  # it comes byte by byte
+            elif due_ms <= now_ms():  # single bytes arrive, so that no recv times out
                 raise BlockingIOError
             data = self.sock.recv(READ_SIZE)
             if not data:
@@ -252,16 +250,16 @@
         self._finish_pending_answers()
 
     def _finish_pending_answers(self) -> None:
-        """Nothing more can be read here, but what was taken may still be owed an answer. Reader's thread."""
+        """Hook of the reader's thread for failed reading: received set-ups may still lack an answer."""
 
     def _reset_by_peer(self) -> bool:
-        """Guards against an end that looks orderly since the writer's send took the error of a reset."""
+        """Whether an end that looks orderly was a reset whose error the writer's send has consumed."""
         with contextlib.suppress(OSError):
             return self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_CLOSED
         return False
 
     def peer_reachable(self) -> bool:
-        """Whether what is sent now can reach the peer, as far as the system knows: ahead of the reader."""
+        """Whether the peer can still receive, by the TCP state: it changes before the reader sees an end."""
         if not self.alive:
             return False
         with contextlib.suppress(OSError):
@@ -271,18 +269,17 @@
         return True
 
     def _discard_rest(self, error: Oversize) -> None:
-        """What becomes of a message that is too large: here its connection just ends."""
+        """Handles an oversized message: here the connection just ends."""
 
 
 class CallerLink(Link):
-    """Whoever connects is owed a refusal, an error or a close within 3 s."""
+    """A connection from a caller. Each gets a refusal, an error or a close within 3 s."""
 
     FIRST_MESSAGE_TIMEOUT_MS = 2000.0
     MESSAGE_TIMEOUT_MS = 2000.0
-    REFUSAL_TIMEOUT_MS = (
-        700.0  # for what is open on a connection that can't be read any further to be refused
-    )
-    trust_level = 0  # 1: it sent what is whole, 2: a call stood; a release goes to whom it can be told
+    REFUSAL_TIMEOUT_MS = 700.0  # for refusing the pending set-ups of an unreadable connection
+    # 1: it has sent a valid message, 2: a call was established on it; releases go to the highest level
+    trust_level = 0
 
     def __init__(
         self,
@@ -296,14 +293,14 @@
         self.on_unreadable, self.unanswered = on_unreadable, unanswered
 
     def _finish_pending_answers(self) -> None:
-        """Guards what was taken on this connection: it is refused, and written, before the close."""
+        """Waits until the set-ups received here have been refused and the refusals written."""
         self.on_unreadable(self)
         until = now_ms() + self.REFUSAL_TIMEOUT_MS
         while self.alive and (self.unanswered(self) or self.unsent()) and now_ms() < until:
             time.sleep(seconds_until(min(now_ms() + 5, until)))
 
     def _discard_rest(self, error: Oversize) -> None:
-        """Refused, then read without being kept: a close with bytes unread would overtake the refusal."""
+        """Refuses the message, then drops its rest: a close with unread bytes would discard the refusal."""
         self.on_message(self, error.malformed)
         remaining, until, buffer = error.rest, now_ms() + self.MESSAGE_TIMEOUT_MS, bytearray(4 * READ_SIZE)
         if remaining > MAX_DISCARDED_BYTES:
@@ -318,7 +315,7 @@
 
 
 class HubLink(Link):
-    """A lab hub writes its messages in one go: one that stops short has spoilt its connection."""
+    """A connection to a lab hub. Hubs write each message at once: an incomplete one breaks the framing."""
 
     MESSAGE_TIMEOUT_MS = 400.0
 
@@ -329,24 +326,22 @@
         on_end: Callable[[HubLink, bool], None],
     ) -> None:
         super().__init__(sock, lambda _, message: on_message(self, message), lambda _, r: on_end(self, r))
-        self.probed_ms = 0.0  # when it was asked whether anyone is still there, having been replaced
-        self.replaced_ms = 0.0
-        self.first_unanswered_ms = 0.0  # the first set-up sent here since anything was heard
-        self.last_answer_ms = 0.0  # the last answer to a set-up
-        self.cancelled_calls: dict[
-            str, None
-        ] = {}  # set-ups called off: an answer that crossed that is released
+        self.probed_ms = 0.0  # when OPTIONS was sent here after the connection had been replaced
+        self.replaced_ms = 0.0  # when the connection that replaces it came up
+        self.first_unanswered_ms = 0.0  # the first set-up sent here since the last received message
+        self.last_answer_ms = 0.0  # the last final answer to a set-up
+        self.cancelled_calls: dict[str, None] = {}  # an answer that crosses the CANCEL is released
 
     def unresponsive_for_ms(self, now: float) -> float:
-        """How long set-ups have gone out here without a word coming back."""
+        """For how long set-ups have been sent here without anything being received."""
         return now - self.first_unanswered_ms if self.first_unanswered_ms > self.last_received_ms else 0.0
 
 
 class Acceptor:
-    """Listens, and hands over each accepted connection from a thread of its own.
+    """Listens on an address and passes each accepted connection to `on_accepted`, in a thread of its own.
 
-    `accepts` is asked all the while; once it says no, whoever the machine has let in by then is still handed
-    over, and only then the listener is closed and `on_shut` called.
+    Once `accepts` returns False, connections that the kernel has accepted by then are still passed on; then
+    the listener is closed and `on_closed` called.
     """
 
     def __init__(
@@ -367,7 +362,7 @@
         start_lasting_thread("accept", self._run)
 
     def wake(self) -> None:
-        """From any thread: `accepts` may have changed."""
+        """Makes the thread check `accepts` again. May be called from any thread."""
         os.eventfd_write(self.wake_event, 1)
 
     def _run(self) -> None:
@@ -384,7 +379,7 @@
         self.on_closed()
 
     def _accept_pending(self) -> None:
-        """Takes whoever waits; out of descriptors, whoever waits stays there a while."""
+        """Accepts all pending connections; out of descriptors, it pauses and leaves them in the backlog."""
         while True:
             try:
                 sock, _ = self.listener.accept()
@@ -394,12 +389,12 @@
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS):
                     time.sleep(seconds_until(now_ms() + ACCEPT_RETRY_MS))
                     return
-                continue  # it was gone before it was taken
+                continue  # the peer closed before the accept
             steps.at(steps.ACCEPTED)
             try:
                 sock.setblocking(True)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 self.on_accepted(sock)
-            except Exception as error:  # guards all later ones against what goes wrong with this one
-                say(f"a connection could not be taken: {type(error).__name__} {error}")
+            except Exception as error:  # one failure must not end the accepting of later connections
+                say(f"cannot serve an accepted connection: {type(error).__name__} {error}")
                 sock.close()
--- a/landingdeal/net/transaction.py
+++ b/landingdeal/net/transaction.py
@@ -1,4 +1,4 @@
-"""One set-up of a caller as the platform's front holds it, from its arrival to its one final answer."""
+"""Server transaction of one set-up on the platform's front, from its arrival to its one final answer."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from landingdeal.net.link import CallerLink
 from landingdeal.sip.message import Message, response
 
-STATUS = {Why.FAILED: 500, Why.FORBIDDEN: 403}  # all others: 503, trying again is harmless
+STATUS_BY_REASON = {Why.FAILED: 500, Why.FORBIDDEN: 403}  # all others: 503, so that the caller may retry
 
 
 class TransactionState(Enum):
-    """OPEN -> DECIDED -> WRITTEN; GIVEN_UP from the first two. Nothing leaves the last two."""
+    """OPEN -> DECIDED -> WRITTEN, or CANCELLED from OPEN and DECIDED. WRITTEN and CANCELLED are final."""
 
     OPEN = "open"
-    DECIDED = "decided"  # the one final answer is queued
-    WRITTEN = "written"  # the writer has begun with it
-    CANCELLED = "given up"  # the caller waits no more, and no answer may follow
+    DECIDED = "decided"  # the single final answer is chosen; it waits to be written
+    WRITTEN = "written"  # the writer has begun to send it
+    CANCELLED = "given up"  # by the caller: no answer may follow
 
 
 class TransactionRegistry(Protocol):
-    """What a transaction needs of the table that holds it."""
+    """Moves answered transactions out of the open ones and sends releases to callers."""
 
     def transaction_answered(self, transaction: CallerTransaction) -> None: ...
 
@@ -34,9 +34,10 @@
 
 
 class CallerTransaction:
-    """Core, reader, writer and main thread may all want to end it; whoever comes first does.
+    """Implements `CallerSide` for one call.
 
-    It is the `CallerSide` of its call.
+    The core, the connection's reader and writer and the main thread may all try to end it; only the first
+    transition succeeds, so that each set-up gets exactly one final answer.
     """
 
     __slots__ = ("registry", "link", "invite", "_state", "_lock")
@@ -49,7 +50,7 @@
     def state(self) -> TransactionState:
         return self._state
 
-    def _move(self, target: TransactionState, *allowed: TransactionState) -> bool:
+    def _transition(self, target: TransactionState, *allowed: TransactionState) -> bool:
         with self._lock:
             if self._state not in allowed:
                 return False
@@ -66,19 +67,23 @@
     def answer(self, description: bytes) -> None:
         self._send_final_answer(lambda: response(self.invite, 200, body=description), establishes_call=True)
 
-    def refuse(self, come_back_ms: float, why: Why) -> None:
-        later = (("x-later-ms", str(int(come_back_ms))),) if come_back_ms > 0 else ()
-        self._send_final_answer(lambda: response(self.invite, STATUS.get(why, 503), *later))
+    def refuse(self, retry_after_ms: float, reason: Why) -> None:
+        headers = (("x-later-ms", str(int(retry_after_ms))),) if retry_after_ms > 0 else ()
+        self._send_final_answer(lambda: response(self.invite, STATUS_BY_REASON.get(reason, 503), *headers))
 
     def cancel(self) -> bool:
-        """False if its answer has been written, or is being written."""
-        return self._move(TransactionState.CANCELLED, TransactionState.OPEN, TransactionState.DECIDED)
+        """Cancels on behalf of the caller; False if the answer has been or is being written."""
+        return self._transition(TransactionState.CANCELLED, TransactionState.OPEN, TransactionState.DECIDED)
 
     def _send_final_answer(
         self, build_response: Callable[[], Message], establishes_call: bool = False
     ) -> None:
-        """Queued before the set-up counts as closed: in between, the connection would look idle."""
-        if not self._move(TransactionState.DECIDED, TransactionState.OPEN):
+        """Sends the final answer, unless there is one already or the caller has cancelled.
+
+        The answer is queued before the set-up counts as answered; the other way round, the connection would
+        look idle in between and could be closed.
+        """
+        if not self._transition(TransactionState.DECIDED, TransactionState.OPEN):
             record("answer_dropped", call=self.invite.call_id, state=self._state.value)
             return
         steps.at(steps.ANSWERED)
@@ -89,8 +94,8 @@
         self.registry.transaction_answered(self)
 
     def _begin_write(self) -> bool:
-        """Asked by the writer: whether the answer still goes out."""
-        if self._move(TransactionState.WRITTEN, TransactionState.DECIDED):
+        """Called by the writer right before it sends the answer; False if the caller has cancelled."""
+        if self._transition(TransactionState.WRITTEN, TransactionState.DECIDED):
             return True
         record("answer_dropped", call=self.invite.call_id, state=self._state.value)
         return False
