--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -1,4 +1,4 @@
-"""Server side of the platform's front: connections from callers and calls in transit."""
+"""Server side of the platform's front: connections from callers, for their calls and those in transit."""
 
 from __future__ import annotations
 
@@ -19,16 +19,18 @@
 from landingdeal.sip.headers import ALLOW, reason_header
 from landingdeal.sip.message import TOO_LARGE, Malformed, Message, request, response
 
-IDLE_CLOSE_SHARE = 0.4  # of the descriptors: callers hold a third at most; above this the idlest is closed
-ACCEPT_SHARE = 0.6  # and above this, while those are being closed, whoever comes
-SWEEP_INTERVAL_MS = 500.0
-MAX_ANSWERED = 1024  # answered set-ups that are still known by their connection and id
-MAX_STORED_RELEASES = 2000  # releases that no caller was there to hear
-UNDELIVERED_LIFETIME_MS = 15000.0  # so long such a release is kept
-RESEND_WINDOW_MS = 1000.0  # a release whose connection closes so soon after it is sent again on another
+IDLE_CLOSE_SHARE = 0.4  # of the descriptors, of which callers need a third; above this the idlest are closed
+ACCEPT_SHARE = 0.6  # of the descriptors; above this new connections are closed at once
+SWEEP_INTERVAL_MS = 500.0  # between searches for idle connections while there is room
+MAX_ANSWERED = 1024  # answered set-ups that are remembered by connection and Call-ID
+MAX_STORED_RELEASES = 2000  # sent ones, and undelivered ones for want of a connection
+UNDELIVERED_LIFETIME_MS = 15000.0  # then an undelivered release is dropped
+RESEND_WINDOW_MS = 1000.0  # a release is sent again if its connection ends so soon after it
 
 
 class CallerConnections:
+    """Accepts connections from callers, passes their set-ups to the core and sends them releases."""
+
     def __init__(
         self,
         settings: Settings,
@@ -45,8 +47,8 @@
         self.max_links, self.accept_limit = int(sockets * IDLE_CLOSE_SHARE), int(sockets * ACCEPT_SHARE)
         self.last_sweep_ms = now_ms()
         self.lock = threading.Lock()
-        self.links: dict[CallerLink, dict[str, CallerTransaction]] = {}  # and the set-ups open on each
-        # the last ones that have their answer: until it is written its caller may still give up
+        self.links: dict[CallerLink, dict[str, CallerTransaction]] = {}  # and the set-ups pending on each
+        # the latest answered ones: until the answer is written, the caller may still cancel
         self.answered: OrderedDict[tuple[CallerLink, str], CallerTransaction] = OrderedDict()
         self.undelivered_releases: OrderedDict[str, tuple[float, int]] = OrderedDict()
         self.sent_releases: deque[tuple[float, str, int, CallerLink]] = deque(maxlen=MAX_STORED_RELEASES)
@@ -61,17 +63,17 @@
         self.life.doors -= 1
 
     def flush(self) -> int:
-        """After the core has ended: refuses what is still owed, closes what may go; how many may not yet."""
+        """After the core's end: refuses pending set-ups, closes idle connections; returns how many remain."""
         with self.lock:
-            left = list(self.links.items())
-        for link, pending in left:
-            for caller in list(pending.values()):
-                caller.refuse(self.retry_after_ms, Why.TURNED_AWAY)
+            open_links = list(self.links.items())
+        for link, pending in open_links:
+            for transaction in list(pending.values()):
+                transaction.refuse(self.retry_after_ms, Why.TURNED_AWAY)
             self._close_if_idle(link)
-        return sum(link.alive for link, _ in left)
+        return sum(link.alive for link, _ in open_links)
 
     def _close_if_idle(self, link: CallerLink) -> bool:
-        """Guards whoever has asked meanwhile. Under the lock: no set-up can be opened on it in between."""
+        """Closes a connection if it is still idle; under the lock no set-up can be added in between."""
         steps.at(steps.CLOSING)
         with self.lock:
             pending = self.links.get(link)
@@ -103,7 +105,7 @@
             return len(self.links.get(link, ()))
 
     def _mark_trusted(self, link: CallerLink) -> None:
-        """What it sends is whole: releases that nobody was there to hear go out here."""
+        """Records that a valid message came on it, and sends the undelivered releases on it."""
         with self.lock:
             link.trust_level = max(link.trust_level, 1)
             undelivered_releases, self.undelivered_releases = self.undelivered_releases, OrderedDict()
@@ -112,37 +114,37 @@
                 self.release(call, cause, link)
 
     def _close_surplus(self) -> None:
-        """Guards descriptors and usual callers against those who ask once, or never, and hold on."""
+        """Closes idle connections, so that callers that hold them open leave descriptors for others."""
         now = now_ms()
         with self.lock:
-            crowded = sum(link.alive for link in self.links) - self.max_links
-            if crowded <= 0 and now < self.last_sweep_ms + SWEEP_INTERVAL_MS:
+            excess = sum(link.alive for link in self.links) - self.max_links
+            if excess <= 0 and now < self.last_sweep_ms + SWEEP_INTERVAL_MS:
                 return
             self.last_sweep_ms = now
             idle = [link for link, pending in self.links.items() if link.alive and not pending]
-        still_needed = crowded
+        surplus = excess
         candidates = (
             Idler(n, link.last_received_ms, link.opened_ms, link.trust_level > 0)
             for n, link in enumerate(idle)
         )
-        for number in spare(candidates, crowded, now):
+        for number in spare(candidates, excess, now):
             closed = self._close_if_idle(idle[number])
-            still_needed -= closed
-            if closed and crowded > 0 and still_needed <= 0:
+            surplus -= closed
+            if closed and excess > 0 and surplus <= 0:
                 break
 
     def _on_unreadable(self, link: CallerLink) -> None:
         with self.lock:
             pending = list(self.links.get(link, {}).items())
-        for call, caller in pending:
-            self.inbox.tell(Unreadable(call, caller))
+        for call, transaction in pending:
+            self.inbox.tell(Unreadable(call, transaction))
 
     def _on_ended(self, link: CallerLink, reset: bool) -> None:
         with self.lock:
             pending = self.links.pop(link, {})
             for key in [key for key in self.answered if key[0] is link]:
                 del self.answered[key]
-            again = [
+            to_resend = [
                 (c, k)
                 for sent_ms, c, k, to in self.sent_releases
                 if to is link and now_ms() - sent_ms < RESEND_WINDOW_MS
@@ -151,13 +153,16 @@
         record("caller_closed", link=link.number,
                why=link.close_reason or ("reset" if reset else "by the caller"),
                open=len(pending), unsent=link.unsent())  # fmt: skip
-        for call, caller in pending.items():
-            self.inbox.tell(Withdrawn(call, caller))
-        for call, cause in again:  # guards against a release written into a connection just being closed
+        for call, transaction in pending.items():
+            self.inbox.tell(Withdrawn(call, transaction))
+        for (
+            call,
+            cause,
+        ) in to_resend:  # the release may have been written to a connection that was being closed
             self.release(call, cause, link)
 
     def _drop_old_releases(self) -> None:
-        """Guards the memory: each entry holds a connection that may have ended long ago."""
+        """Bounds the memory: each entry refers to a connection that may have ended long ago."""
         while self.sent_releases and now_ms() - self.sent_releases[0][0] >= RESEND_WINDOW_MS:
             self.sent_releases.popleft()
 
@@ -170,7 +175,7 @@
                 link.send(response(malformed, 413 if message.why == TOO_LARGE else 400))
             return
         if message.status:
-            return  # a release that was heard
+            return  # the answer to a release
         match message.method:
             case "INVITE":
                 self._on_invite(link, message)
@@ -181,8 +186,8 @@
                 self.inbox.tell(CallerReleased(message.call_id))
             case "OPTIONS":
                 self._mark_trusted(link)
-                well = self.ready.is_set() and self.life.well
-                link.send(response(message, 200 if well else 503))
+                healthy = self.ready.is_set() and self.life.well
+                link.send(response(message, 200 if healthy else 503))
             case "ACK":
                 pass
             case _:
@@ -198,7 +203,7 @@
         self.inbox.tell(Withdrawn(message.call_id, transaction))
 
     def _is_repeated(self, link: CallerLink, call: str) -> bool:
-        """Whether a set-up under this id has come on this connection: its one answer serves both."""
+        """Whether a set-up with this Call-ID has come on this connection: its one answer serves both."""
         with self.lock:
             known = call in self.links.get(link, {}) or (link, call) in self.answered
         if known:
@@ -209,9 +214,9 @@
         arrived_ms = now_ms()
         if self._is_repeated(link, message.call_id):
             return
-        caller = CallerTransaction(self, link, message)
+        transaction = CallerTransaction(self, link, message)
         try:
-            offer = parse_offer(message, caller, arrived_ms, self.max_patience_ms)
+            offer = parse_offer(message, transaction, arrived_ms, self.max_patience_ms)
         except (ValueError, KeyError):
             link.send(response(message, 400))
             return
@@ -219,28 +224,32 @@
             self._mark_trusted(link)
         with self.lock:
             pending = self.links.get(link, {})
-            pending[message.call_id] = caller
+            pending[message.call_id] = transaction
         steps.at(steps.TAKEN)
-        if not self.inbox.offer(offer):  # guards against a caller left unanswered by a full inbox
+        if not self.inbox.offer(offer):  # full, or the core has ended: the caller still gets an answer
             record("refused", call=offer.call, by="front", closed=self.inbox.closed)
-            caller.refuse(self.retry_after_ms, Why.TURNED_AWAY)
+            transaction.refuse(self.retry_after_ms, Why.TURNED_AWAY)
 
-    def transaction_answered(self, caller: CallerTransaction) -> None:
+    def transaction_answered(self, transaction: CallerTransaction) -> None:
+        """Moves a pending set-up to the answered ones."""
         with self.lock:
-            pending, call = self.links.get(caller.link, {}), caller.invite.call_id
-            if pending.get(call) is caller:
+            pending, call = self.links.get(transaction.link, {}), transaction.invite.call_id
+            if pending.get(call) is transaction:
                 del pending[call]
-                self.answered[caller.link, call] = caller
+                self.answered[transaction.link, call] = transaction
                 while len(self.answered) > MAX_ANSWERED:
                     self.answered.popitem(last=False)
 
     def release(self, call: str, cause: int, target: CallerLink | None = None) -> None:
-        """Goes out on any connection from callers: its own, else one that calls stood on, else the next."""
+        """Sends the release of a call on its own connection, or else on the most trusted one.
+
+        Without a suitable connection it is stored until a caller sends a valid message.
+        """
         with self.lock:
             if target is None or target not in self.links or not target.alive:
-                # guards against telling it to whoever just connected, or asked for nothing that can stand
+                # skips peers that have only just connected or asked for nothing that can become a call
                 trusted = (link for link in self.links if link.alive and link.trust_level)
-                # one with a set-up open is not about to be closed by its caller
+                # a caller does not close a connection on which a set-up is pending
                 best = max(
                     trusted,
                     key=lambda on: (on.trust_level, bool(self.links[on]), on.last_received_ms),
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -1,4 +1,4 @@
-"""Client side of the platform's front: lab hubs, each with one connection that is kept open."""
+"""Client side of the platform's front: keeps one connection open to each lab hub."""
 
 from __future__ import annotations
 
@@ -16,26 +16,20 @@
 from landingdeal.sip.message import BrokenFraming, Malformed, Message, request, response
 from landingdeal.threads import start_lasting_thread
 
-SUSPECT_SILENCE_MS = 2500.0  # a lab hub that has said nothing for so long is asked for a new connection
-UNRESPONSIVE_SLO_SHARE = (
-    0.25  # of the shortest aim: or whose connection has said nothing so long after a set-up
-)
+SUSPECT_SILENCE_MS = 2500.0  # after so long without a message from a lab hub, it is dialled again
+# of the shortest class target: it is also dialled again if a set-up gets no message back for so long
+UNRESPONSIVE_SLO_SHARE = 0.25
 MIN_UNRESPONSIVE_MS, MAX_UNRESPONSIVE_MS = 100.0, 2500.0
-REPLACE_INTERVAL_MS = 1000.0
-FAILED_SILENCE_MS = (
-    7000.0  # and after so long in vain its calls are over: callers must hear within 8 s of an end
-)
+REPLACE_INTERVAL_MS = 1000.0  # at least, between replacements for unanswered set-ups
+FAILED_SILENCE_MS = 7000.0  # then its calls are released: callers must be notified within 8 s of their end
 CHECK_INTERVAL_MS = 100.0
 REDIAL_INTERVAL_MS = 250.0  # after a failed connect
-MAX_CANCELLED_CALLS = 256  # set-ups called off on one connection whose answer may still cross that
-MAX_HUBS = 512  # lab hubs, those included that went less than 7 s ago
-PROBE_REPLY_TIMEOUT_MS = (
-    250.0  # for a word on a connection that was silent, where its lab hub answers on the new one
-)
-MAX_RECONNECT_MS = (
-    700.0  # a lab hub whose connection was reset and that is back so soon has not been restarted
-)
-# 504: the set-up broke on its way, and may have run. Said by a lab hub that lives: it is no sign of a death
+MAX_CANCELLED_CALLS = 256  # per connection: cancelled set-ups whose answer may cross the CANCEL
+MAX_HUBS = 512  # including those removed less than 7 s ago
+PROBE_REPLY_TIMEOUT_MS = 250.0  # for a replaced connection to show life while the new one gets answers
+MAX_RECONNECT_MS = 700.0  # a lab hub that accepts again so soon after a reset was not restarted
+# 504: the set-up was interrupted on its way and may have been carried out. A live lab hub sends
+# it, so that it is no sign of a failure
 OUTCOME_BY_STATUS = {
     503: Ending.TURNED_BACK,
     480: Ending.NOT_SENT,
@@ -45,102 +39,106 @@
 
 
 def is_whole_description(body: bytes) -> bool:
-    """Lines of text, the last one whole: noise and what was cut off are not passed on as good."""
+    """Whether a body is printable lines, the last one complete: damaged bodies are not passed on."""
     return body.endswith(b"\r\n") and all(32 <= char < 127 or char in b"\t\r\n" for char in body)
 
 
 @dataclass(frozen=True, slots=True)
 class PendingProbe:
+    """An OPTIONS sent to a lab hub whose answer has not come yet."""
+
     sent_ms: float
     deadline_ms: float
 
 
 class Hub:
-    """One lab hub: its address, its connection, what is open on it and what waits for one."""
+    """One lab hub: its address, its connections, the set-ups pending on each and those queued for one."""
 
     def __init__(self, name: bytes, host: str, port: int) -> None:
         self.name, self.host, self.port = name, host, port
         self.link: HubLink | None = None
         self.pending: dict[HubLink, dict[str, Attempt]] = {}
         self.queued: list[Attempt] = []
-        self.queued_releases: list[str] = []  # to be told once there is a connection
+        self.queued_releases: list[str] = []  # sent once there is a connection
         self.pending_probes: dict[str, PendingProbe] = {}
-        self.removed = self.keeper_running = self.draining = False  # kept: its keeper runs
+        self.removed = self.keeper_running = self.draining = (
+            False  # keeper_running: its thread keeps it connected
+        )
         self.last_received_ms = self.connected_ms = now_ms()
-        self.refused_connects, self.suspect_reset_ms = (
-            0,
-            0.0,
-        )  # connects refused in a row; a reset that may be its death
-        self.last_reset_ms = 0.0  # the last reset
-        self.last_replaced_ms = 0.0
-        self.declared_failed = False  # its calls have been released for its silence
+        # connects refused in a row; the time of a reset that may mean that its process has ended
+        self.refused_connects, self.suspect_reset_ms = 0, 0.0
+        self.last_reset_ms = 0.0
+        self.last_suspected_ms = 0.0  # when its connection was last replaced for silence
+        self.declared_failed = False  # its calls have been released because of its silence
         self.changed = threading.Condition()
 
 
 class HubConnections:
-    def __init__(self, settings: Settings, inbox: Inbox, local: str, dial_timeout_ms: float) -> None:
+    """The connections to all lab hubs. Implements `HubSide` for the core."""
+
+    def __init__(self, settings: Settings, inbox: Inbox, local_address: str, dial_timeout_ms: float) -> None:
         self.settings, self.inbox, self.dial_timeout_ms = settings, inbox, dial_timeout_ms
         shortest_slo_ms = min(call_class.aim_ms for call_class in settings.classes)
         self.unresponsive_ms = max(shortest_slo_ms * UNRESPONSIVE_SLO_SHARE, MIN_UNRESPONSIVE_MS)
-        self.via = ("via", f"SIP/2.0/TCP {local}")
+        self.via = ("via", f"SIP/2.0/TCP {local_address}")
         self.lock = threading.Lock()
         self.hubs: dict[bytes, Hub] = {}
         self.probe_number = 0
 
     def update_hub(self, name: bytes, address: str, removed: bool, draining: bool = False) -> None:
-        """The list names a lab hub, or says that it is gone.
+        """Applies one entry of the list of lab hubs: added, changed, draining or removed.
 
-        A connection that lives outlasts the news that its lab hub is gone: the list is seconds late, and a
-        machine that vanished may be back already, with calls that stand.
+        A live connection is kept when its lab hub is removed from the list: the list is seconds late, and a
+        machine that had vanished may be back already, with established calls.
         """
         host, _, port = address.rpartition(":")
         with self.lock:
             hub = self.hubs.get(name)
-            replaced = []
+            hubs_at_address = []
             if hub is None:
                 if removed or len(self.hubs) >= MAX_HUBS:
                     return
                 hub = self.hubs[name] = Hub(name, host, int(port))
-                others = [h for h in self.hubs.values() if h is not hub]
-                replaced = [h for h in others if (h.host, h.port) == (host, hub.port)]
-        for old in replaced:
-            self._address_reused(old)
+                other_hubs = [h for h in self.hubs.values() if h is not hub]
+                hubs_at_address = [h for h in other_hubs if (h.host, h.port) == (host, hub.port)]
+        for replaced_hub in hubs_at_address:
+            self._remove_replaced(replaced_hub)
         with hub.changed:
-            cut = hub.last_reset_ms if removed else 0.0
+            failed_before_ms = hub.last_reset_ms if removed else 0.0
             if address:
                 hub.host, hub.port = host, int(port)
             hub.removed = removed
-            # guards against a lab hub that is back and has no keeper, for which set-ups would wait in vain
-            keep, hub.keeper_running = (
+            # a lab hub that returns without a running keeper gets a new one: set-ups would be queued forever
+            start_keeper, hub.keeper_running = (
                 not removed and not hub.keeper_running,
                 hub.keeper_running or not removed,
             )
             hub.draining = draining or removed
-            lost = self._take_queued(hub) if hub.draining else []
+            undeliverable = self._take_queued(hub) if hub.draining else []
             hub.changed.notify()
-        for attempt in lost:
+        for attempt in undeliverable:
             self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
-        if cut:  # the reset was the end of its process after all
-            self.inbox.tell(HubDied(name, cut))
-        if keep:
+        if failed_before_ms:  # the earlier reset was the end of its process
+            self.inbox.tell(HubDied(name, failed_before_ms))
+        if start_keeper:
             start_lasting_thread("keeper", lambda: self._keep_connected(hub))
 
     @staticmethod
     def _take_queued(hub: Hub) -> list[Attempt]:
-        """Under the hub's lock: what waits for a connection that may come up any time later."""
-        lost, hub.queued = hub.queued, []
-        return lost
-
-    def _address_reused(self, old: Hub) -> None:
-        """Guards against taking the connections of a new lab hub at its address for its own."""
-        with old.changed:
-            old.removed = True
-            links = list(old.pending)
-            old.host, old.port = "", 0
-            old.changed.notify()
+        """Empties the queue of set-ups and returns it. The caller holds the hub's lock."""
+        undeliverable, hub.queued = hub.queued, []
+        return undeliverable
+
+    def _remove_replaced(self, replaced_hub: Hub) -> None:
+        """Removes a lab hub whose address a new one has, so that it is not connected to the new one."""
+        with replaced_hub.changed:
+            replaced_hub.removed = True
+            links = list(replaced_hub.pending)
+            replaced_hub.host, replaced_hub.port = "", 0
+            replaced_hub.changed.notify()
         for link in links:
-            link.close_with_reason("another has its address")
-        self.inbox.tell(HubDied(old.name, now_ms()))
+            link.close_with_reason("another lab hub has its address")
+        self.inbox.tell(HubDied(replaced_hub.name, now_ms()))
 
     def start(self) -> None:
         def check_repeatedly() -> None:
@@ -151,10 +149,10 @@
         start_lasting_thread("watch", check_repeatedly)
 
     def check_hubs(self, now: float) -> None:
-        """Looks for lab hubs that say nothing.
+        """Replaces silent connections and declares silent lab hubs failed.
 
-        Guards against calls that ended where no release could come from: a machine that vanished or was cut
-        off leaves its connections open and silent, and callers must be told within 8 s all the same.
+        A machine that vanished or was cut off leaves its connections open and can send no release, but the
+        callers must be notified of the end of their calls within 8 s.
         """
         with self.lock:
             hubs = list(self.hubs.values())
@@ -171,7 +169,7 @@
                 if hub.link is not None and (
                     silent_ms > SUSPECT_SILENCE_MS or self._is_unresponsive(hub, hub.link, now)
                 ):
-                    hub.last_replaced_ms = now
+                    hub.last_suspected_ms = now
                     self._replace_connection(hub)
                 if silent_ms > FAILED_SILENCE_MS and not hub.declared_failed:
                     failed = hub.declared_failed = True
@@ -185,42 +183,40 @@
                     unverified = [link for link in replaced_links if not link.probed_ms]
                 for link in unverified:
                     link.probed_ms, link.replaced_ms = now, hub.connected_ms
-                # what is open there ends with it, and goes out again
+                # set-ups pending there end with the connection and are sent again
                 surplus += [link for link in replaced_links if self._is_abandoned(hub, link, now)]
                 if hub.removed and hub.declared_failed:
                     surplus, removable = list(hub.pending), not hub.keeper_running and not hub.pending
             for pending_probe in expired_probes:
                 self.inbox.tell(Probed(hub.name, False, pending_probe.deadline_ms - pending_probe.sent_ms))
             for link in unverified:
-                # replaced while it was silent: a process that was restarted meanwhile answers with a reset
+                # a process that was restarted since then answers with a reset
                 link.send(self._options_request(f"{0:016x}"))
             for link in surplus:
-                link.close_with_reason("replaced, or gone and silent")
+                link.close_with_reason("replaced, or its lab hub is removed and silent")
             if failed:
-                say(
-                    f"{hub.name!r} has said nothing for {silent_ms / 1000:.1f} s: its calls are taken as over"
-                )
+                say(f"no message from {hub.name!r} for {silent_ms / 1000:.1f} s: its calls are released")
                 self.inbox.tell(HubDied(hub.name, now))
-            if removable:  # guards the memory and the threads on days when each lab hub is a new one
+            if removable:  # bounds memory and threads where lab hubs are often replaced by new ones
                 with self.lock:
                     self.hubs.pop(hub.name, None)
 
     def _is_unresponsive(self, hub: Hub, link: HubLink, now: float) -> bool:
-        """Guards against a connection that falls silent while its lab hub goes on answering on others."""
+        """Whether set-ups on it get no message back: its lab hub may still answer on another connection."""
         return (
             link.unresponsive_for_ms(now) > self.unresponsive_ms
-            and now - hub.last_replaced_ms > REPLACE_INTERVAL_MS
+            and now - hub.last_suspected_ms > REPLACE_INTERVAL_MS
         )
 
     @staticmethod
     def _is_abandoned(hub: Hub, link: HubLink, now: float) -> bool:
-        """Nothing on it will be answered any more: others are, or too long has passed."""
-        since = link.probed_ms
-        others = hub.link is not None and hub.link.last_answer_ms > since
+        """Whether to close a replaced connection: the new one gets answers, or too long has passed."""
+        sent_ms = link.probed_ms
+        newer_answers = hub.link is not None and hub.link.last_answer_ms > sent_ms
         return (
-            since > 0
-            and link.last_received_ms < since
-            and now - since > (PROBE_REPLY_TIMEOUT_MS if others else MAX_UNRESPONSIVE_MS)
+            sent_ms > 0
+            and link.last_received_ms < sent_ms
+            and now - sent_ms > (PROBE_REPLY_TIMEOUT_MS if newer_answers else MAX_UNRESPONSIVE_MS)
         )
 
     def _note_received(self, hub: Hub) -> None:
@@ -233,7 +229,7 @@
     # --- connections ---
 
     def _keep_connected(self, hub: Hub) -> None:
-        """Keeps a connection up: the state of its group comes on it. Ends when the lab hub is gone."""
+        """Keeps a connection open, since load reports come on it. Ends when the lab hub is removed."""
         while True:
             with hub.changed:
                 while hub.link is not None and hub.link.alive:
@@ -260,20 +256,24 @@
                         else 0.0
                     )
                     hub.suspect_reset_ms = 0.0 if refused else hub.suspect_reset_ms
-                    lost = [a for a in hub.queued if refused or now >= a.sent_ms + self.dial_timeout_ms - 1]
-                    hub.queued = [a for a in hub.queued if a not in lost]
-                for attempt in lost:
+                    undeliverable = [
+                        a for a in hub.queued if refused or now >= a.sent_ms + self.dial_timeout_ms - 1
+                    ]
+                    hub.queued = [a for a in hub.queued if a not in undeliverable]
+                for attempt in undeliverable:
                     self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
                 if failed_before_ms:
-                    # a connection that was reset proves nothing: peers reset idle ones too, and their calls
-                    # stand. Where the next is refused, or two are, nobody is there any more to hold them
+                    # a reset alone is no proof of a failure: peers also reset idle connections and keep their
+                    # calls. A refused connect after it, or two refused in a row, show that the process ended
                     self.inbox.tell(HubDied(hub.name, failed_before_ms))
                 with hub.changed:
                     if not hub.removed and not hub.queued:
                         hub.changed.wait(seconds_until(now_ms() + REDIAL_INTERVAL_MS))
                 continue
             link = HubLink(
-                sock, lambda on, m: self._on_message(hub, on, m), lambda on, r: self._on_ended(hub, on, r)
+                sock,
+                lambda on, m: self._on_message(hub, on, m),
+                lambda on, r: self._on_connection_ended(hub, on, r),
             )
             self._on_connected(hub, link)
         if failed_before_ms:
@@ -282,64 +282,69 @@
             self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
 
     def _on_connected(self, hub: Hub, link: HubLink) -> None:
-        """What waited goes out under one lock: whoever calls an attempt off finds it waiting, or sent."""
+        """Sends what is queued, under one lock: a cancellation finds each attempt either queued or sent."""
         with hub.changed:
             hub.link = link
             hub.pending[link] = {}
             hub.connected_ms = now_ms()
-            late = hub.suspect_reset_ms if hub.connected_ms - hub.suspect_reset_ms > MAX_RECONNECT_MS else 0.0
+            failed_before_ms = (
+                hub.suspect_reset_ms if hub.connected_ms - hub.suspect_reset_ms > MAX_RECONNECT_MS else 0.0
+            )
             hub.refused_connects, hub.suspect_reset_ms = 0, 0.0
             self._note_received(hub)
             queued_releases, hub.queued_releases = hub.queued_releases, []
             for call in queued_releases:
                 link.send(self._bye_request(call))
             queued = self._take_queued(hub)
-            lost = [attempt for attempt in queued if not self._send_set_up(hub, link, attempt)]
+            undeliverable = [attempt for attempt in queued if not self._send_set_up(hub, link, attempt)]
         try:
             link.start()
         except RuntimeError:  # the system has no thread left
             link.close()
-            self._on_ended(hub, link, reset=False)
+            self._on_connection_ended(hub, link, reset=False)
             raise
-        if late:  # it took a while to come back: another process
-            self.inbox.tell(HubDied(hub.name, late))
+        if failed_before_ms:  # so long after the reset, it is a new process
+            self.inbox.tell(HubDied(hub.name, failed_before_ms))
         say(f"connected to {hub.name!r}")
-        for attempt in lost:
+        for attempt in undeliverable:
             self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
 
-    def _on_ended(self, hub: Hub, link: HubLink, reset: bool) -> None:
+    def _on_connection_ended(self, hub: Hub, link: HubLink, reset: bool) -> None:
         with hub.changed:
-            cut = list(hub.pending.pop(link, {}).values())
-            before = now_ms()
-            doubted = hub.link is not link
-            if not doubted:
+            interrupted = list(hub.pending.pop(link, {}).values())
+            failed_before_ms = now_ms()
+            was_replaced = hub.link is not link
+            if not was_replaced:
                 hub.link = None
             elif link.replaced_ms or hub.link is not None:
-                before = link.replaced_ms or hub.connected_ms  # what was set up on the new connection stands
+                failed_before_ms = (
+                    link.replaced_ms or hub.connected_ms
+                )  # what was set up on the new connection stands
             hub.changed.notify()
-            if reset and not doubted:
-                hub.suspect_reset_ms = hub.last_reset_ms = before
+            if reset and not was_replaced:
+                hub.suspect_reset_ms = hub.last_reset_ms = failed_before_ms
         end_description = (
             "reset" if reset else f"closed: {link.close_reason}" if link.close_reason else "closed"
         )
-        say(f"connection to {hub.name!r} ended ({end_description}, {len(cut)} set-ups open)")
-        for attempt in cut:
-            # given up with its connection, which proves nothing of its lab hub: one that is gone refuses the
-            # next. Guards against trying a healthy hub one call at a time, and pacing it as if newly started
+        say(f"connection to {hub.name!r} ended ({end_description}, {len(interrupted)} set-ups pending)")
+        for attempt in interrupted:
+            # CANCELLED, not UNREACHABLE: the end of a connection is no proof that the lab hub has failed (one
+            # that has refuses the next connect), and UNREACHABLE would limit a healthy lab hub to one call at
+            # a time and then ramp it up as if newly started
             self.inbox.tell(Ended(attempt, Ending.CANCELLED))
-        if reset and doubted:  # it had been silent: whoever answers there now knows nothing of it
-            self.inbox.tell(HubDied(hub.name, before))
+        if reset and was_replaced:  # it was silent, then reset: the process there now does not know it
+            self.inbox.tell(HubDied(hub.name, failed_before_ms))
 
     def _replace_connection(self, hub: Hub) -> None:
-        """A silent connection may be dead: a new one is tried, and set-ups wait for that.
+        """Dials a new connection in place of a silent one; set-ups are queued until it is up.
 
-        Guards against a machine that vanished or was cut off: its connections stay open and say nothing.
+        The connections of a machine that vanished or was cut off stay open and silent.
         """
-        say(f"connection to {hub.name!r} is silent; a new one is tried")
+        say(f"connection to {hub.name!r} is silent; dialling a new one")
         hub.link = None
         hub.changed.notify()
 
-    # --- what the core asks for ---
+    # --- requests of the core ---
 
     def _find_hub(self, name: bytes) -> Hub | None:
         with self.lock:
@@ -352,26 +357,26 @@
             return
         with hub.changed:
             link = hub.link
-            up = link is not None and link.alive
-            if not up and not hub.draining:
+            connected = link is not None and link.alive
+            if not connected and not hub.draining:
                 hub.queued.append(attempt)
                 hub.changed.notify()
                 return
-        if link is None or not up or not self._send_set_up(hub, link, attempt):
+        if link is None or not connected or not self._send_set_up(hub, link, attempt):
             self.inbox.soon(Ended(attempt, Ending.UNREACHABLE))
 
     def _send_set_up(self, hub: Hub, link: HubLink, attempt: Attempt) -> bool:
-        """False: it did not go out, and nothing else will tell of its end."""
-        left = int(attempt.deadline_ms - now_ms())
+        """Sends the INVITE; False if it was not sent and its end has still to be reported."""
+        remaining_ms = int(attempt.deadline_ms - now_ms())
         offer = attempt.offer
-        if left <= 0:
-            return True  # its end is told by the core's own timer
+        if remaining_ms <= 0:
+            return True  # the core's own timer ends it
         message = request(
             "INVITE", offer.uri, self.via, ("call-id", offer.call), ("cseq", "1 INVITE"),
-            ("subject", offer.class_name), ("x-patience", str(left)), ("x-facts", offer.facts),
+            ("subject", offer.class_name), ("x-patience", str(remaining_ms)), ("x-facts", offer.facts),
             body=offer.description,
         )  # fmt: skip
-        with hub.changed:  # noted and queued at once, so that a CANCEL comes after it
+        with hub.changed:  # registered and queued under one lock, so that a CANCEL follows it
             pending_calls = hub.pending.get(link)
             if pending_calls is None or not link.send(message):
                 return False
@@ -400,7 +405,9 @@
                 link is not None and link is not hub.link and link.last_received_ms < attempt.sent_ms
             )
             unresponsive = unresponsive and hub.link is not None and hub.link.last_answer_ms > attempt.sent_ms
-            waited = now_ms() - attempt.sent_ms > self.dial_timeout_ms  # a caller may call off at once
+            waited = (
+                now_ms() - attempt.sent_ms > self.dial_timeout_ms
+            )  # no sign of silence if the caller cancels at once
             if hub.link is not None and waited and hub.link.last_received_ms < attempt.sent_ms:
                 self._replace_connection(hub)
             if link is not None:
@@ -440,13 +447,13 @@
         if link is not None:
             link.send(self._options_request(key))
 
-    # --- what lab hubs say ---
+    # --- messages from lab hubs ---
 
     def _on_message(self, hub: Hub, link: HubLink, message: Message | Malformed) -> None:
         self._note_received(hub)
         if isinstance(message, Malformed):
-            # guards against waiting for answers on a connection that a spoilt one has made useless
-            raise BrokenFraming(f"{hub.name!r} sent what is not SIP: {message.why}")
+            # after a malformed message, further answers on this connection cannot be relied on
+            raise BrokenFraming(f"{hub.name!r} sent a malformed message: {message.why}")
         if message.status:
             method = message.cseq[1]
             if method == "INVITE" and message.status >= 200:
@@ -457,8 +464,8 @@
         match message.method:
             case "BYE":
                 link.send(response(message, 200))
-                figures = figures_of(message, self.settings)
-                self.inbox.tell(HubReleased(message.call_id, hub.name, cause_of(message), figures))
+                hub_load = figures_of(message, self.settings)
+                self.inbox.tell(HubReleased(message.call_id, hub.name, cause_of(message), hub_load))
             case "NOTIFY":
                 self.inbox.tell(GroupState(hub.name, figures_of(message, self.settings)))
             case "OPTIONS":
@@ -473,10 +480,10 @@
             pending_calls = hub.pending.get(link, {})
             if call not in pending_calls and call not in link.cancelled_calls:
                 record("answer_ignored", call=call, hub=hub.name, status=message.status)
-                return  # a second copy, or of an id that is not ours: what stands is not touched by it
+                return  # a repeated answer or an unknown id: no call is affected
             if message.status < 300 and not is_whole_description(message.body):
-                # its set-up stays open here, and ends with the connection
-                raise BrokenFraming(f"{hub.name!r} sent what is no description")
+                # its set-up stays pending and ends with the connection
+                raise BrokenFraming(f"{hub.name!r} sent an answer without a valid description")
             attempt = pending_calls.pop(call, None)
             link.cancelled_calls.pop(call, None)
         link.send(request("ACK", attempt.offer.uri if attempt else "sip:hub@net", self.via, ("call-id", call),
@@ -493,10 +500,10 @@
         self.inbox.tell(Ended(attempt, ending, reason, figures_of(message, self.settings)))
 
     def _release_unwanted(self, hub: Hub, link: Link, call: str) -> None:
-        """An answer that crossed our CANCEL: what stands for nobody is released, unless sent there again."""
+        """Releases a call whose answer crossed our CANCEL, unless it was sent to this lab hub again."""
         with hub.changed:
-            again = any(call in calls for calls in hub.pending.values())
-        if not again and not link.send(self._bye_request(call)):
+            sent_again = any(call in calls for calls in hub.pending.values())
+        if not sent_again and not link.send(self._bye_request(call)):
             self.release(hub.name, call)
 
     def _on_probe_answer(self, hub: Hub, message: Message) -> None:
@@ -504,9 +511,12 @@
             pending_probe = hub.pending_probes.pop(message.call_id, None)
         if pending_probe is not None:
             now = now_ms()
-            well = message.status < 300 and now <= pending_probe.deadline_ms
+            succeeded = message.status < 300 and now <= pending_probe.deadline_ms
             self.inbox.tell(
                 Probed(
-                    hub.name, well, max(now - pending_probe.sent_ms, 0.1), figures_of(message, self.settings)
+                    hub.name,
+                    succeeded,
+                    max(now - pending_probe.sent_ms, 0.1),
+                    figures_of(message, self.settings),
                 )
             )
