--- a/landingdeal/net/__init__.py
+++ b/landingdeal/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's front: callers, lab hubs, event bus and configuration on TCP sockets."""
+"""The platform's front: callers, lab hubs and the event bus over TCP, and the platform's configuration."""
--- a/landingdeal/net/bus.py
+++ b/landingdeal/net/bus.py
@@ -1,4 +1,4 @@
-"""Reads the event bus: server-sent events over HTTP, from the last event known on."""
+"""Reads the event bus: server-sent events over HTTP, resumed after the last known event."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from landingdeal.net.link import dial
 from landingdeal.threads import start_lasting_thread
 
-MAX_SILENCE_MS = 2200.0  # a comment arrives every second: after so long without one the connection is dead
+MAX_SILENCE_MS = 2200.0  # a comment arrives every second: after so long without one the connection has failed
 DIAL_TIMEOUT_MS = 500.0
 RECONNECT_PAUSE_MS = 100.0
-MAX_NUMBER_DIGITS = 15  # digits of an event's number
+MAX_NUMBER_DIGITS = 15  # of an event number
 MAX_LINE_BYTES = 4 * 1024 * 1024
 
 
@@ -29,14 +29,14 @@
 
 
 class BusReader:
-    """Every event is told once, by its number, whichever address or connection it came from."""
+    """Passes each event on once, by its number, whichever address or connection it came from."""
 
     def __init__(
         self, address: tuple[str, int], offset: int, on_event: Callable[[TopologyEvent], None]
     ) -> None:
         self.address, self.offset, self.on_event = address, offset, on_event
         self.stopped = False
-        self.unusable_number = ""  # the number of the last event that could not be used
+        self.unusable_number = ""  # the number of the last event that could not be read
         self.lock = threading.Lock()
         self.sock: socket.socket | None = None
 
@@ -44,9 +44,10 @@
         start_lasting_thread("bus", self._run)
 
     def change_address(self, address: tuple[str, int], known: tuple[TopologyEvent, ...]) -> None:
-        """A new configuration: the numbers go on, and what it knows already is not awaited from the bus.
+        """Applies the events and the bus address of a new configuration; the numbering continues.
 
-        Guards against waiting for an event bus that is no longer used: it stays open and tells nothing.
+        A connection to the old address is closed: an event bus that is no longer used stays open without
+        sending events.
         """
         for event in known:
             self._apply(event)
@@ -56,29 +57,31 @@
             self.address = address
             if self.sock is not None:
                 with contextlib.suppress(OSError):
-                    self.sock.shutdown(socket.SHUT_RDWR)  # its reader sees the end, and closes it
-        say(f"event bus: from now on {address[0]}:{address[1]}")
+                    self.sock.shutdown(
+                        socket.SHUT_RDWR
+                    )  # ends the read in the bus thread, which closes the socket
+        say(f"event bus: now read from {address[0]}:{address[1]}")
 
     def _apply(self, event: TopologyEvent) -> None:
-        with self.lock:  # held while it is told, so that two readers can't tell in the wrong order
+        with self.lock:  # held during the call, so that two threads can't apply events in the wrong order
             if event.offset > self.offset:
                 self.on_event(event)
                 self.offset = event.offset
                 record("event", number=event.offset, entries=len(event.addresses))
 
     def _handle_event(self, number: str, data: str) -> None:
-        """One event as it came.
+        """Parses and applies one event.
 
-        What cannot be read may have been cut short: it is asked for again. What comes so twice is passed
-        over, since the events behind it would never be heard.
+        An event that can't be read may have been cut off, so it is requested again. If it can't be read the
+        second time either it is skipped, since the events after it would never be received.
         """
         try:
             event = parse_topology_event(json.loads(data))
         except (ValueError, ConfigError, RecursionError) as error:
-            again = number == self.unusable_number
+            repeated = number == self.unusable_number
             self.unusable_number = number
-            if not (again and _is_event_number(number)):
-                raise ValueError(f"event {number[:20]!r} can't be used: {error}") from None
+            if not (repeated and _is_event_number(number)):
+                raise ValueError(f"cannot use event {number[:20]!r}: {error}") from None
             record("event_passed_over", number=number, error=type(error).__name__)
             with self.lock:
                 self.offset = max(self.offset, int(number))
@@ -104,11 +107,11 @@
                 time.sleep(seconds_until(now_ms() + RECONNECT_PAUSE_MS))
 
     def _read(self, sock: socket.socket) -> None:
-        head = (
+        request_text = (
             f"GET /bus/read HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n"
             f"Accept: text/event-stream\r\nLast-Event-ID: {self.offset}\r\n\r\n"
         )
-        sock.sendall(head.encode())
+        sock.sendall(request_text.encode())
         number, data = "", ""
         for line in self._body_lines(sock):
             if line.startswith("id:"):
@@ -120,11 +123,11 @@
                 number, data = "", ""
 
     def _body_lines(self, sock: socket.socket) -> Iterator[str]:
-        """The lines of the body, with chunks undone where the answer comes in chunks."""
+        """Yields the lines of the body, decoded if the transfer encoding is chunked."""
         raw_lines = self._raw_lines(sock)
         status = next(raw_lines, "")
         if " 200" not in status:
-            raise ValueError(f"answered {status!r}")
+            raise ValueError(f"unexpected status {status!r}")
         chunked = False
         for line in raw_lines:
             if not line:
@@ -158,7 +161,7 @@
                 return
             partial += data
             if len(partial) > MAX_LINE_BYTES:
-                raise ValueError("a line without an end")
+                raise ValueError("line too long")
             *lines, partial = partial.split(b"\n")
             for line in lines:
                 yield line.decode("utf-8", "replace").rstrip("\r")
--- a/landingdeal/net/config.py
+++ b/landingdeal/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands over, as typed values; anything unusable is one plain line."""
+"""The platform's configuration as typed values; an unusable one raises ConfigError of one line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HubAddress:
-    """One lab hub of an event, for the client side. `where` is host:port, empty where one is gone."""
+    """Address of one lab hub of an event; `host_port` may be empty if the lab hub was removed."""
 
     name: bytes
     host_port: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TopologyEvent:
-    """One event of the event bus: the change for the core, and the addresses for the client side."""
+    """One event of the event bus: the change for the core and the addresses for `HubConnections`."""
 
     offset: int
     change: ExchangeList
@@ -33,6 +33,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The platform's configuration of this process."""
+
     name: str
     host: str
     port: int
@@ -46,19 +48,21 @@
 
 
 def parse_topology_event(raw: Any) -> TopologyEvent:
-    """Raises ConfigError on an event that is not of the event bus."""
+    """Parses one event of the event bus; raises ConfigError if it can't be used."""
     try:
         topology = raw["topology"]
         entries, addresses = [], []
-        for row in topology["endpoints"]:
-            name, health = str(row["name"]).encode(), HEALTH_BY_STATUS[row["status"]]
-            up_since_ms = float(row.get("since_ms") or 0.0)
-            host_port = str(row.get("address") or "")
+        for endpoint in topology["endpoints"]:
+            name, health = str(endpoint["name"]).encode(), HEALTH_BY_STATUS[endpoint["status"]]
+            up_since_ms = float(endpoint.get("since_ms") or 0.0)
+            host_port = str(endpoint.get("address") or "")
             if host_port:
                 address(host_port, "an endpoint")
             elif health is not Health.GONE:
-                raise ConfigError(f"no address for {row['name']}")
-            entries.append(Listed(name, int(row["group"]) if "group" in row else -1, health, up_since_ms))
+                raise ConfigError(f"no address for {endpoint['name']}")
+            entries.append(
+                Listed(name, int(endpoint["group"]) if "group" in endpoint else -1, health, up_since_ms)
+            )
             addresses.append(HubAddress(name, host_port, health))
         kind = ListKind.WHOLE if topology.get("snapshot") else ListKind.CHANGES
         return TopologyEvent(int(raw["offset"]), ExchangeList(kind, tuple(entries)), tuple(addresses))
@@ -69,6 +73,7 @@
 
 
 def read_config(text: str) -> Config:
+    """Parses the configuration; raises ConfigError if it can't be used."""
     try:
         raw = json.loads(text)
     except ValueError as error:
--- a/landingdeal/net/set_up.py
+++ b/landingdeal/net/set_up.py
@@ -1,11 +1,11 @@
-"""A caller's set-up read into an `Offer`: plain figures in range, hex ids, a whole description."""
+"""Parses a caller's set-up into an `Offer`: plain numbers in range, hex ids, a complete description."""
 
 from __future__ import annotations
 
 from landingdeal.core.events import CallerSide, Offer
 from landingdeal.sip.message import Message
 
-MAX_HUB_NUMBER = 0xFFFF  # of lab hubs
+MAX_HUB_NUMBER = 0xFFFF
 MAX_WIDTH = 255
 FACT_RANGES = {"dest": (0, MAX_HUB_NUMBER), "width": (1, MAX_WIDTH), "via": (-1, MAX_HUB_NUMBER),
                "transit": (0, 1), "again": (0, 1)}  # fmt: skip
@@ -13,49 +13,51 @@
 
 
 def parse_integer(text: str) -> int:
-    """A plain decimal number; int() would also take `1_0`, other scripts' digits and a thousand of them."""
+    """Parses a plain integer; int() also accepts `1_0`, digits of other scripts and very long numbers."""
     digits = text.removeprefix("-")
     if not (digits.isascii() and digits.isdecimal() and len(digits) <= 9):
-        raise ValueError(f"no number: {text[:20]!r}")
+        raise ValueError(f"not a number: {text[:20]!r}")
     return int(text)
 
 
 def parse_decimal(text: str) -> float:
-    """`1500` or `1500.5`; raises ValueError on anything else."""
-    main, _, part = text.partition(".")
-    return parse_integer(main) + (parse_integer(part) / 10.0 ** len(part) if part else 0.0)
+    """Parses `1500` or `1500.5`; raises ValueError on anything else."""
+    integer_part, _, fraction = text.partition(".")
+    return parse_integer(integer_part) + (
+        parse_integer(fraction) / 10.0 ** len(fraction) if fraction else 0.0
+    )
 
 
 def parse_facts(text: str) -> dict[str, int]:
-    """`dest:2;width:1;via:-1` as numbers; raises ValueError on what is none or out of range."""
-    found: dict[str, int] = {}
-    for part in text.split(";"):
-        if part.strip():
-            name, _, value = (word.strip() for word in part.partition(":"))
+    """Parses `dest:2;width:1;via:-1`; raises ValueError on a repeated name or a value out of range."""
+    facts: dict[str, int] = {}
+    for fact in text.split(";"):
+        if fact.strip():
+            name, _, value = (word.strip() for word in fact.partition(":"))
             low, high = FACT_RANGES.get(name, (-999999999, 999999999))
             number = parse_integer(value)
-            if name in found or not low <= number <= high:
-                raise ValueError(f"{name[:20]} is out of range or told twice")
-            found[name] = number
-    return found
+            if name in facts or not low <= number <= high:
+                raise ValueError(f"{name[:20]} is out of range or repeated")
+            facts[name] = number
+    return facts
 
 
 def checked_hex_digits(text: str, max_digits: int = 16) -> str:
-    """The text itself, if it is hex digits and so many at the most; raises ValueError."""
+    """Returns the text if it is one to `max_digits` hex digits; raises ValueError otherwise."""
     if not 0 < len(text) <= max_digits or not HEX_DIGITS.issuperset(text):
-        raise ValueError("no hex digits")
+        raise ValueError("not hex digits")
     return text
 
 
 def parse_offer(message: Message, caller: CallerSide, arrived_ms: float, max_patience_ms: float) -> Offer:
-    """Raises ValueError or KeyError on what is missing, no number or out of range."""
+    """Parses an INVITE; raises ValueError or KeyError on a missing value or one that is not in range."""
     facts = parse_facts(message.get("x-facts"))
     patience = parse_decimal(message.get("x-patience"))
     number = checked_hex_digits(message.uri.removeprefix("sip:").partition("@")[0])
     if not 0 < patience <= max_patience_ms:
-        raise ValueError("patience")
-    if not message.body.endswith(b"\r\n"):  # its length was wrong, or there is none
-        raise ValueError("description")
+        raise ValueError("patience is out of range")
+    if not message.body.endswith(b"\r\n"):  # missing, or cut off by a wrong Content-Length
+        raise ValueError("description is not complete")
     return Offer(
         call=checked_hex_digits(message.call_id),
         uri=message.uri,
