--- a/landingdeal/service/__init__.py
+++ b/landingdeal/service/__init__.py
@@ -1,1 +1,1 @@
-"""The program as a service: its fronts and core wired together, its signals minded."""
+"""The program as a service: connects its fronts to the core and handles signals."""
--- a/landingdeal/service/life.py
+++ b/landingdeal/service/life.py
@@ -1,4 +1,4 @@
-"""Reloads, and the end: what both fronts are run by."""
+"""The main thread of both fronts: reloads on SIGHUP and the orderly end."""
 
 from __future__ import annotations
 
@@ -16,29 +16,34 @@
 from landingdeal.service.signals import Signals
 from landingdeal.threads import READY_MS, start_thread
 
-FLUSH_POLL_MS = 10.0  # between looks at what is still to be written when the core has ended
+FLUSH_POLL_MS = 10.0  # between checks for unwritten messages after the core has ended
 
 
-def reload(reread: Callable[[], None]) -> None:
-    """A file that cannot be used changes nothing, and ends nothing."""
+def reload(load_configuration: Callable[[], None]) -> None:
+    """Loads the configuration again; after an error the old one stays in effect."""
     try:
-        reread()
-        say("the configuration was read again")
+        load_configuration()
+        say("configuration reloaded")
     except (ConfigError, OSError, UnicodeDecodeError) as error:
-        say(f"the old configuration stays: {error}")
+        say(f"the old configuration is kept: {error}")
     except Exception:
-        say("the old configuration stays: it could not be carried out")
+        say("the old configuration is kept: the new one could not be applied")
         traceback.print_exc(file=sys.stderr)
 
 
-def run(broker: Broker, flush: Callable[[], int], signals: Signals, reread: Callable[[], None]) -> None:
-    """Until SIGTERM, then until every call has its answer and `flush` counts nothing left to be written."""
+def run(
+    broker: Broker, flush: Callable[[], int], signals: Signals, load_configuration: Callable[[], None]
+) -> None:
+    """Runs until SIGTERM, then until every call has its answer and all messages are written.
+
+    `flush` is called after the end of the core; it returns how many connections are still to be flushed.
+    """
     life = broker.life
     life.watchers.append(lambda: record("phase", now=life.phase.name))
-    signals.handle_with(lambda at_ms: broker.inbox.tell(Stop(at_ms)), lambda: reload(reread))
-    core = start_thread("core", broker.run, READY_MS)
-    while core.is_alive():
-        core.join(1.0)
+    signals.handle_with(lambda at_ms: broker.inbox.tell(Stop(at_ms)), lambda: reload(load_configuration))
+    core_thread = start_thread("core", broker.run, READY_MS)
+    while core_thread.is_alive():
+        core_thread.join(1.0)
     life.core_gone(now_ms())
     while True:
         unflushed = flush()
@@ -46,4 +51,4 @@
         if life.phase is Phase.ENDED:
             break
         time.sleep(seconds_until(now_ms() + FLUSH_POLL_MS))
-    say(f"stopped{f', {unflushed} connections not idle' if unflushed else ''}")
+    say(f"stopped{f', {unflushed} connections not flushed' if unflushed else ''}")
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -1,4 +1,4 @@
-"""One border controller on the platform: callers, lab hubs and event bus as its configuration says."""
+"""Runs a border controller on the platform, with the callers, lab hubs and event bus of its configuration."""
 
 from __future__ import annotations
 
@@ -19,17 +19,16 @@
 from landingdeal.service.signals import Signals
 from landingdeal.threads import start_lasting_thread
 
-READY_TIMEOUT_MS = (
-    1000.0  # a test is passed once all lab hubs are connected, at the latest so long after the start
-)
+READY_TIMEOUT_MS = 1000.0  # health checks pass once all lab hubs are connected, or so long after the start
 
 
 def read_platform(path: str) -> Config:
+    """Reads the platform's configuration; raises ConfigError if it can't be used."""
     return read_config(Path(path).read_text(encoding="utf-8"))
 
 
 def read_contracts(operator_path: str) -> tuple[Contract, ...]:
-    """What counts here of the operator's file; without one its reader is not even imported."""
+    """Reads the contracts of the operator's file; without one its parser is not even imported."""
     if not operator_path:
         return ()
     from landingdeal.operator import read_operator
@@ -38,6 +37,7 @@
 
 
 def serve(path: str, operator_path: str, signals: Signals) -> None:
+    """Runs until SIGTERM; raises ConfigError and OSError at the start."""
     config, initial_contracts = read_platform(path), read_contracts(operator_path)
     longest_deadline_ms = max(call_class.deadline_ms for call_class in config.settings.classes)
     inbox, life = Inbox(), Lifecycle(times_before_kill(longest_deadline_ms))
@@ -67,11 +67,11 @@
     hubs.start()
     bus = BusReader(config.bus, config.offset, apply_event)
 
-    def reread() -> None:
+    def load_configuration() -> None:
         new_config, new_contracts = read_platform(path), read_contracts(operator_path)
         bus.change_address(new_config.bus, new_config.known)
         inbox.tell(Budgets(new_contracts))
 
     bus.start()
     start_lasting_thread("ready", mark_ready)
-    run(broker, callers.flush, signals, reread)
+    run(broker, callers.flush, signals, load_configuration)
--- a/landingdeal/service/signals.py
+++ b/landingdeal/service/signals.py
@@ -1,4 +1,4 @@
-"""Signals: noted by the handler, carried out by one thread, in the order in which they came."""
+"""Signals: queued by the signal handler and handled by one thread in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -16,15 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedSignal:
+    """One signal and when it came."""
+
     number: int
     at_ms: float
 
 
 class Signals:
-    """Made before anything is opened or read: from then on no signal ends the process by itself.
+    """Catches SIGTERM, SIGINT and SIGHUP, which from then on do not end the process by themselves.
 
-    What comes before `carry_out` waits for it. The handlers only put into a queue that allows for that: they
-    may interrupt anything, themselves too, and start no thread, which the system may refuse.
+    Created before anything is opened or read. Signals that come before `handle_with` are queued until then.
+    The signal handlers only put into a reentrant queue: they may interrupt any code, themselves included, and
+    must not start a thread, which the system may refuse.
     """
 
     def __init__(self) -> None:
@@ -35,8 +38,8 @@
     def _on_signal(self, number: int, _frame: object) -> None:
         self._received.put(ReceivedSignal(number, now_ms()))
 
-    def handle_with(self, stop: Callable[[float], None], reread: Callable[[], None]) -> None:
-        """`stop` is given the time of its signal; SIGHUP is for `reread`. Neither may raise."""
+    def handle_with(self, stop: Callable[[float], None], reload: Callable[[], None]) -> None:
+        """Calls `stop` with the time of a SIGTERM or SIGINT, and `reload` on SIGHUP. Neither may raise."""
 
         def handle_signals() -> None:
             while True:
@@ -45,6 +48,6 @@
                 if received.number in STOP_SIGNALS:
                     stop(received.at_ms)
                 else:
-                    reread()
+                    reload()
 
         start_lasting_thread("signals", handle_signals)
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -1,4 +1,4 @@
-"""The SIP front as the operator's file says."""
+"""Runs a border controller with the SIP front, as set in the operator's file."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 from landingdeal.sip.capture import Capture
 from landingdeal.sip.front import SipFront
 
-CAPTURE_FLUSH_MS = 2000.0  # for what waits to be written to a capture at the end
-RELEASE_FLUSH_MS = 2000.0  # for the SIP front's last releases to be answered
+CAPTURE_FLUSH_MS = 2000.0  # at the end, for writing the rest of the capture
+RELEASE_FLUSH_MS = 2000.0  # at the end, for answers to the SIP front's last releases
 
 
 def read_operator_file(operator_path: str) -> Operator:
+    """Reads the operator's file; without one the defaults apply."""
     return read_operator(Path(operator_path).read_text(encoding="utf-8")) if operator_path else Operator()
 
 
 def serve(operator_path: str, signals: Signals) -> None:
-    """Raises ConfigError and OSError."""
+    """Runs until SIGTERM; raises ConfigError and OSError at the start."""
     operator = read_operator_file(operator_path)
     if operator.sip is None:
         raise ConfigError("neither ROUTER_CONFIG nor an operator's file with the SIP front enabled is named")
