--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,7 @@
-"""The end of life: who may go and when, in every order of events, and with each step of a request held."""
+"""Shutdown: phases and connection closing in any order of events, with a request held at each of its steps.
+
+Guards against set-ups that a restart loses: the process or a connection ends before their answer is written.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 from landingdeal.core import steps
 from landingdeal.core.events import Unreadable, Why
 from landingdeal.core.lifecycle import Held, Idler, Lifecycle, Phase, Times, may_go, spare, times_before_kill
-from landingdeal.lab.trial.trial import Plan as Trial
+from landingdeal.lab.trial.trial import Plan as TrialPlan
 from landingdeal.lab.trial.trial import play
 from landingdeal.sip.message import encode, request
 from tests.rig.front import Front, Gate
@@ -32,134 +35,153 @@
 VENV_BIN = str(Path(sys.executable).parent)
 EVENTS = st.lists(
     st.tuples(
-        st.sampled_from(["stop", "open", "close", "in", "out", "door", "shut", "core", "flush", "gone"]),
+        st.sampled_from(
+            [
+                "stop",
+                "open",
+                "close",
+                "inbox_put",
+                "inbox_taken",
+                "listen",
+                "listener_closed",
+                "core_check",
+                "flush_check",
+                "core_stopped",
+            ]
+        ),
         st.floats(0, 900),
     ),
     max_size=60,
 )
 
 
-class World:
-    """What the lifecycle is told of, moved by any events in any order."""
+class LifecycleModel:
+    """Drives a lifecycle with any events in any order and checks each transition."""
 
     def __init__(self) -> None:
         self.life, self.now = Lifecycle(), 1000.0
         self.open = self.inbox = 0
-        self.entered: list[Phase] = []
-        self.life.watchers.append(lambda: self.entered.append(self.life.phase))
+        self.entered_phases: list[Phase] = []
+        self.life.watchers.append(lambda: self.entered_phases.append(self.life.phase))
 
-    def step(self, what: str, later: float) -> None:
-        self.now += later
+    def step(self, event: str, delay_ms: float) -> None:
+        self.now += delay_ms
         before = self.life.phase
-        match what:
+        match event:
             case "stop":
                 assert self.life.stop(self.now) is (before is Phase.RUNNING)
             case "open":
                 self.open += 1
             case "close":
                 self.open = max(self.open - 1, 0)
-            case "in":
+            case "inbox_put":
                 self.inbox += 1
-            case "out":
+            case "inbox_taken":
                 self.inbox = max(self.inbox - 1, 0)
-            case "door":
+            case "listen":
                 self.life.doors += 1
-            case "shut":
+            case "listener_closed":
                 self.life.doors = max(self.life.doors - 1, 0)
-            case "core":
+            case "core_check":
                 self._core()
-            case "gone":
-                if what == "gone" and self.life.core_runs and before is not Phase.RUNNING:
+            case "core_stopped":
+                if event == "core_stopped" and self.life.core_runs and before is not Phase.RUNNING:
                     self.life.core_gone(self.now)
                     assert self.life.phase is Phase.FLUSHING
-            case "flush":
+            case "flush_check":
                 self.life.flush_looks(self.open, self.now)
                 if self.life.phase is Phase.ENDED and before is not Phase.ENDED:
                     assert before is Phase.FLUSHING and (not self.open or self.now >= self.life.due_ms)
-        assert self.life.phase >= before, "it went back"
+        assert self.life.phase >= before, "the phase went back"
 
     def _core(self) -> None:
         life, before = self.life, self.life.phase
-        refuse = life.core_looks(self.open, self.inbox, self.now)
-        since = self.now - life.stop_ms
+        refuse_all = life.core_looks(self.open, self.inbox, self.now)
+        since_stop_ms = self.now - life.stop_ms
         if before is Phase.RUNNING:
-            assert life.phase is Phase.RUNNING and not refuse
-        elif before is Phase.DRAINING and since < TIMES.takes:
-            assert life.phase is Phase.DRAINING, "callers may still come"
+            assert life.phase is Phase.RUNNING and not refuse_all
+        elif before is Phase.DRAINING and since_stop_ms < TIMES.takes:
+            assert life.phase is Phase.DRAINING, "callers may still connect"
         if life.phase is Phase.FLUSHING and before < Phase.FLUSHING:
-            if since < TIMES.answers:
+            if since_stop_ms < TIMES.answers:
                 assert not (self.open or self.inbox or life.doors), "the core ended with work left"
-                assert not refuse
+                assert not refuse_all
             else:
-                assert refuse is (self.open > 0), "what the kill would find"
-        if before <= Phase.FINISHING and since >= TIMES.answers and life.phase >= Phase.FINISHING:
-            assert life.phase is Phase.FLUSHING, "it waits past its time"
+                assert refuse_all is (self.open > 0), "set-ups open at the deadline must be refused"
+        if before <= Phase.FINISHING and since_stop_ms >= TIMES.answers and life.phase >= Phase.FINISHING:
+            assert life.phase is Phase.FLUSHING, "it waits past its deadline"
 
 
 @given(EVENTS)
-def test_it_only_moves_forward_and_never_with_work_left(events: list[tuple[str, float]]) -> None:
-    world = World()
-    for what, later in events:
-        world.step(what, later)
-    life = world.life
-    assert world.entered == sorted(set(world.entered)), "each phase is entered once, in order"
+def test_phases_only_move_forward_and_the_core_never_ends_with_work_left(
+    events: list[tuple[str, float]],
+) -> None:
+    model = LifecycleModel()
+    for event, delay_ms in events:
+        model.step(event, delay_ms)
+    life = model.life
+    assert model.entered_phases == sorted(set(model.entered_phases)), "each phase is entered once, in order"
     assert life.accepts == life.takes == (life.phase <= Phase.DRAINING)
     assert life.well == (life.phase is Phase.RUNNING)
-    # whatever came, asked to stop it has ended before the kill
-    stop = min(life.stop_ms, world.now)
+    # after any events, a stop ends it before the kill
+    stop = min(life.stop_ms, model.now)
     life.stop(stop)
-    life.core_looks(world.open, world.inbox, stop + TIMES.takes)
-    life.core_looks(world.open, world.inbox, stop + TIMES.answers)
+    life.core_looks(model.open, model.inbox, stop + TIMES.takes)
+    life.core_looks(model.open, model.inbox, stop + TIMES.answers)
     assert not life.core_runs
     life.flush_looks(1, stop + TIMES.ends)
     assert life.phase is Phase.ENDED and TIMES.ends < 3700.0
 
 
-def test_a_calm_end_waits_for_callers_and_for_nothing_else() -> None:
+def test_an_idle_shutdown_waits_only_for_late_callers() -> None:
     life = Lifecycle()
     assert life.due_ms == float("inf") and life.stop(1000.0) and not life.well and life.takes
 
-    def looks(open_calls: int, inbox: int, now: float) -> Phase:
+    def check_all(open_calls: int, inbox: int, now: float) -> Phase:
         life.core_looks(open_calls, inbox, now)
         life.flush_looks(open_calls, now)
         return life.phase
 
-    assert looks(0, 0, 1699.0) is Phase.DRAINING and life.due_ms == 1700.0
+    assert check_all(0, 0, 1699.0) is Phase.DRAINING and life.due_ms == 1700.0
     life.doors = 1
-    assert looks(0, 0, 1701.0) is Phase.FINISHING, "whoever waits at the door was let in by the machine"
+    assert check_all(0, 0, 1701.0) is Phase.FINISHING, "a connection in the backlog is accepted first"
     life.doors = 0
-    assert looks(1, 0, 1702.0) is Phase.FINISHING
-    assert looks(0, 1, 1703.0) is Phase.FINISHING
+    assert check_all(1, 0, 1702.0) is Phase.FINISHING
+    assert check_all(0, 1, 1703.0) is Phase.FINISHING
     life.core_looks(0, 0, 1704.0)
-    assert looks(2, 0, 1705.0) is Phase.FLUSHING and life.due_ms == 2704.0
-    assert looks(0, 0, 1706.0) is Phase.ENDED
+    assert check_all(2, 0, 1705.0) is Phase.FLUSHING and life.due_ms == 2704.0
+    assert check_all(0, 0, 1706.0) is Phase.ENDED
 
 
 @given(st.integers(0, 2), st.integers(0, 2), st.booleans())
-def test_nothing_taken_stands_on_what_may_go(owed: int, unsent: int, unread: bool) -> None:
+def test_a_connection_may_close_only_without_pending_work(owed: int, unsent: int, unread: bool) -> None:
     assert may_go(Held(owed, unsent, unread)) is ((owed, unsent, unread) == (0, 0, False))
 
 
-IDLERS = st.lists(st.tuples(st.floats(0, 20000), st.floats(0, 1000), st.booleans()), max_size=40)
+IDLE_CONNECTIONS = st.lists(st.tuples(st.floats(0, 20000), st.floats(0, 1000), st.booleans()), max_size=40)
 
 
-@given(IDLERS, st.integers(-5, 45))
-def test_room_is_made_by_the_idlest(rows: list[tuple[float, float, bool]], crowded: int) -> None:
+@given(IDLE_CONNECTIONS, st.integers(-5, 45))
+def test_the_idlest_connections_are_closed_first(
+    connections: list[tuple[float, float, bool]], excess: int
+) -> None:
     now = 30000.0
-    idle = [Idler(n, now - age, now - age - more, known) for n, (age, more, known) in enumerate(rows)]
-    chosen = spare(idle, crowded, now)
-    assert len(set(chosen)) == len(chosen) and set(chosen) <= set(range(len(rows)))
-    if crowded > 0:
-        assert len(chosen) >= min(crowded, len(rows))
+    idle = [Idler(n, now - age, now - age - more, known) for n, (age, more, known) in enumerate(connections)]
+    chosen = spare(idle, excess, now)
+    assert len(set(chosen)) == len(chosen) and set(chosen) <= set(range(len(connections)))
+    if excess > 0:
+        assert len(chosen) >= min(excess, len(connections))
     else:
-        assert all(rows[n][0] > 8000 for n in chosen) and len(chosen) <= max(len(rows) - 4, 0)
-    mute = [n for n, (age, more, known) in enumerate(rows) if not known and age + more >= 200]
-    place = {n: at for at, n in enumerate(chosen)}
-    for n in set(mute) & set(place):
-        assert all(place[n] < place[other] for other in place if other not in mute)
+        assert all(connections[n][0] > 8000 for n in chosen) and len(chosen) <= max(len(connections) - 4, 0)
+    without_message = [
+        n for n, (age, more, known) in enumerate(connections) if not known and age + more >= 200
+    ]
+    position = {n: at for at, n in enumerate(chosen)}
+    for n in set(without_message) & set(position):
+        assert all(position[n] < position[other] for other in position if other not in without_message)
 
 
-# --- with each step of a request held ---
+# --- with a request held at each of its steps ---
 
 
 @pytest.fixture(autouse=True)
@@ -170,20 +192,20 @@
 
 @pytest.fixture
 def front() -> Iterator[Front]:
-    made = Front()
-    yield made
-    made.end()
+    test_front = Front()
+    yield test_front
+    test_front.end()
 
 
-def in_background(work: object) -> threading.Thread:
-    assert callable(work)
-    thread = threading.Thread(target=work, daemon=True)
+def run_in_background(function: object) -> threading.Thread:
+    assert callable(function)
+    thread = threading.Thread(target=function, daemon=True)
     thread.start()
     return thread
 
 
 @pytest.mark.parametrize("step", [steps.READ, steps.TAKEN])
-def test_a_connection_whose_set_up_is_being_read_does_not_go(step: str, front: Front) -> None:
+def test_a_connection_whose_set_up_is_being_read_is_not_closed(step: str, front: Front) -> None:
     gate = Gate(step)
     front.set_up()
     gate.held()
@@ -194,15 +216,13 @@
     assert front.reads().startswith(b"SIP/2.0 503")
 
 
-def test_a_connection_whose_set_up_the_system_still_has_does_not_go(front: Front) -> None:
-    """The reader is held with the first set-up; the second has only reached the machine."""
+def test_a_connection_whose_set_up_is_unread_in_the_kernel_is_not_closed(front: Front) -> None:
+    """The reader is held with the first set-up; the second has only reached the kernel."""
     gate = Gate(steps.TAKEN)
     front.set_up("a")
     gate.held()
     front.set_up("b")
-    front.callers.transaction_answered(
-        next(iter(front.callers.links.values()), {})["a"]
-    )  # as if it were answered
+    front.callers.transaction_answered(next(iter(front.callers.links.values()), {})["a"])  # as if answered
     until = now_ms() + 200
     while now_ms() < until:
         front.sweep()
@@ -211,11 +231,11 @@
 
 
 @pytest.mark.parametrize("step", [steps.ANSWERED, steps.QUEUED, steps.WRITING])
-def test_a_connection_whose_answer_is_not_out_does_not_go(step: str, front: Front) -> None:
+def test_a_connection_whose_answer_is_not_written_is_not_closed(step: str, front: Front) -> None:
     front.set_up()
     offer = front.offered()
     gate = Gate(step)
-    answering = in_background(lambda: offer.caller.answer(BODY))
+    answering = run_in_background(lambda: offer.caller.answer(BODY))
     gate.held()
     front.sweep()
     assert not front.gone()
@@ -228,32 +248,32 @@
     assert front.gone() and front.reads() == b""
 
 
-def test_a_set_up_that_comes_after_the_choice_keeps_its_connection(front: Front) -> None:
+def test_a_set_up_that_arrives_after_the_selection_keeps_its_connection_open(front: Front) -> None:
     front.set_up()
     front.offered().caller.answer(BODY)
     front.reads()
     gate = Gate(steps.CLOSING)
-    sweeping = in_background(front.sweep)
+    sweeping = run_in_background(front.sweep)
     gate.held()
     front.set_up("b")
-    later = front.offered()
+    second_offer = front.offered()
     gate.go.set()
     sweeping.join(PATIENCE_S)
     assert not front.gone()
-    later.caller.answer(BODY)
+    second_offer.caller.answer(BODY)
     assert front.reads().startswith(b"SIP/2.0 200")
 
 
 @pytest.mark.parametrize(
-    "spoilt", [b"INVITE sip:b@net SIP/2.0\r\nContent-Length: x\r\n\r\n", b"INVITE sip:b@net SIP/2.0\r\nCall"]
+    "damaged", [b"INVITE sip:b@net SIP/2.0\r\nContent-Length: x\r\n\r\n", b"INVITE sip:b@net SIP/2.0\r\nCall"]
 )
-def test_what_is_open_is_answered_before_a_spoilt_connection_goes(
-    spoilt: bytes, front: Front, monkeypatch: pytest.MonkeyPatch
+def test_pending_set_ups_are_answered_before_a_damaged_connection_is_closed(
+    damaged: bytes, front: Front, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("landingdeal.net.link.CallerLink.MESSAGE_TIMEOUT_MS", 50.0)
     front.set_up()
     offer = front.offered()
-    front.sock.sendall(spoilt)
+    front.sock.sendall(damaged)
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
     assert isinstance(event, Unreadable) and event.caller is offer.caller
     offer.caller.refuse(0.0, Why.TURNED_AWAY)
@@ -261,17 +281,15 @@
     assert front.reads() == b""
 
 
-def test_a_handler_that_goes_wrong_leaves_nobody_unanswered(
-    front: Front, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_failing_handler_leaves_no_set_up_unanswered(front: Front, monkeypatch: pytest.MonkeyPatch) -> None:
     front.set_up()
     offer = front.offered()
 
-    def fails(link: object, message: object) -> None:
-        raise RuntimeError("on purpose")
+    def fail(link: object, message: object) -> None:
+        raise RuntimeError("injected fault")
 
     for link in front.callers.links:
-        monkeypatch.setattr(link, "on_message", fails)
+        monkeypatch.setattr(link, "on_message", fail)
     front.set_up("b")
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
     assert isinstance(event, Unreadable) and event.call == "a"
@@ -279,12 +297,12 @@
     assert front.reads().startswith(b"SIP/2.0 503")
 
 
-def test_a_set_up_that_crossed_the_end_of_the_core_is_refused_before_the_end(front: Front) -> None:
+def test_a_set_up_that_crosses_the_end_of_the_core_is_refused_before_the_exit(front: Front) -> None:
     gate = Gate(steps.TAKEN)
     front.set_up()
     gate.held()
     front.life.stop(now_ms())
-    front.life.core_gone(now_ms())  # its reader goes on to an inbox that nobody empties any more
+    front.life.core_gone(now_ms())  # the held reader then puts into an inbox that is no longer read
     assert front.callers.flush() == 1
     assert front.reads().startswith(b"SIP/2.0 503")
     gate.go.set()
@@ -294,34 +312,38 @@
     assert front.reads() == b"" and not front.callers.flush()
 
 
-def test_whoever_waits_at_the_door_is_let_in_before_it_shuts(front: Front) -> None:
+def test_connections_in_the_backlog_are_accepted_before_the_listener_closes(front: Front) -> None:
     gate = Gate(steps.ACCEPTED)
     first = socket.create_connection(front.where)
     gate.held()
-    late = socket.create_connection(front.where)
-    late.settimeout(PATIENCE_S)
-    late.sendall(encode(request("OPTIONS", "sip:ping@net", ("call-id", "1"), ("cseq", "1 OPTIONS"))))
+    late_connection = socket.create_connection(front.where)
+    late_connection.settimeout(PATIENCE_S)
+    late_connection.sendall(
+        encode(request("OPTIONS", "sip:ping@net", ("call-id", "1"), ("cseq", "1 OPTIONS")))
+    )
     front.life.stop(0.0)
     front.life.core_looks(0, 0, TIMES.takes)
     assert front.life.phase is Phase.FINISHING and front.life.doors == 1
     gate.go.set()
-    assert late.recv(100).startswith(b"SIP/2.0 503")  # its test fails: the program is ending
+    assert late_connection.recv(100).startswith(
+        b"SIP/2.0 503"
+    )  # the health check fails: the program is ending
     until = now_ms() + PATIENCE_S * 1000
     while front.life.doors and now_ms() < until:
         threading.Event().wait(seconds_until(now_ms() + 5))
     assert front.life.doors == 0
     first.close()
-    late.close()
+    late_connection.close()
 
 
-def test_a_connection_that_can_not_be_taken_shuts_no_door(
+def test_a_connection_that_cannot_be_served_does_not_close_the_listener(
     front: Front, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def fails(link: object) -> None:
+    def fail(link: object) -> None:
         raise RuntimeError("can't start new thread")
 
     with monkeypatch.context() as patch:
-        patch.setattr("landingdeal.net.link.Link.start", fails)
+        patch.setattr("landingdeal.net.link.Link.start", fail)
         refused = socket.create_connection(front.where)
         refused.settimeout(PATIENCE_S)
         assert refused.recv(1) == b""
@@ -334,67 +356,69 @@
     refused.close()
 
 
-# --- the program itself ---
+# --- with the program as a process ---
 
 
 @pytest.mark.parametrize(
     "plan", [Plan(seed=1), Plan(seed=2, connections=85, surge=40), Plan(seed=3, answers_ms=(500.0, 2500.0))]
 )
-def test_a_restart_under_load_loses_nothing(plan: Plan) -> None:
+def test_a_restart_under_load_loses_no_set_up(plan: Plan) -> None:
     tally = play_round(replace(plan, load_s=(0.4, 0.4)))
     assert tally.sent > 20 and tally.code == 0 and not tally.notes
     assert (tally.lost, tally.twice, tally.unanswered) == (0, 0, 0)
     assert tally.answered + tally.refused + tally.crossed + tally.turned_away == tally.sent
 
 
-@pytest.mark.parametrize("longest", [300.0, 600.0, 1200.0, 3000.0, 9000.0])
-def test_the_program_ends_before_the_earliest_kill_of_its_deployment(longest: float) -> None:
-    times = times_before_kill(longest)
-    assert times.takes < times.answers < times.ends < min(longest, 3000.0) + 700.0
-    assert times.takes <= 700.0, "what comes later than 0.7 s has to be answered by the kill"
+@pytest.mark.parametrize("longest_deadline_ms", [300.0, 600.0, 1200.0, 3000.0, 9000.0])
+def test_the_program_ends_before_the_earliest_kill_of_its_deployment(longest_deadline_ms: float) -> None:
+    times = times_before_kill(longest_deadline_ms)
+    assert times.takes < times.answers < times.ends < min(longest_deadline_ms, 3000.0) + 700.0
+    assert times.takes <= 700.0, "set-ups taken later than 0.7 s need an answer before the kill"
 
 
 @pytest.mark.parametrize("deadline_ms", [600.0, 1200.0])
-def test_a_stop_with_short_deadlines_and_hung_hubs_leaves_nothing_unanswered(deadline_ms: float) -> None:
-    quiet = Trial(7, rough_hubs=False, bad_callers=False, hub_faults=False, bus_faults=False, reloads=False)
-    plan = replace(quiet, deadlines_ms=(deadline_ms, deadline_ms), lasts_s=1.0, hang_at_stop=True)
+def test_a_stop_with_short_deadlines_and_hung_hubs_leaves_no_set_up_unanswered(deadline_ms: float) -> None:
+    trial_plan = TrialPlan(
+        7, rough_hubs=False, bad_callers=False, hub_faults=False, bus_faults=False, reloads=False
+    )
+    plan = replace(trial_plan, deadlines_ms=(deadline_ms, deadline_ms), lasts_s=1.0, hang_at_stop=True)
     result = play(plan)
     assert not result.broken, "\n".join(result.broken)
     assert len(result.exits_ms) == plan.starts, "killed"
 
 
-def until_hangups_are_ignored(process: int) -> None:
+def wait_until_sighup_is_handled(process_id: int) -> None:
     until = now_ms() + PATIENCE_S * 1000
     while now_ms() < until:
-        status = Path(f"/proc/{process}/status").read_text()
-        masks = dict(line.split(":\t", 1) for line in status.splitlines() if ":\t" in line)
-        if (int(masks["SigIgn"], 16) | int(masks["SigCgt"], 16)) & 1 << signal.SIGHUP - 1:
+        status = Path(f"/proc/{process_id}/status").read_text()
+        fields = dict(line.split(":\t", 1) for line in status.splitlines() if ":\t" in line)
+        if (int(fields["SigIgn"], 16) | int(fields["SigCgt"], 16)) & 1 << signal.SIGHUP - 1:
             return
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_at_any_moment_of_the_start_ends_nothing_by_itself(number: signal.Signals) -> None:
-    """Started as the platform does; from the shell's first command on, the signal comes later in each try."""
+def test_a_signal_at_any_moment_of_the_start_does_not_kill_the_process(number: signal.Signals) -> None:
+    """Starts it as the platform does; each try sends the signal later after the shell's first command."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
-    for late in range(0, 400, 40):
+    for delay_ms in range(0, 400, 40):
         with tempfile.TemporaryDirectory() as folder:
             command = ["/bin/sh", "-c", run.replace(".venv/bin", VENV_BIN)]
-            stage = Stage(Plan(seed=late), Path(folder), command)
-            until_hangups_are_ignored(stage.process.pid)
-            time.sleep(late / 1000)
-            stage.process.send_signal(number)
+            harness = Stage(Plan(seed=delay_ms), Path(folder), command)
+            wait_until_sighup_is_handled(harness.process.pid)
+            time.sleep(delay_ms / 1000)
+            harness.process.send_signal(number)
             try:
                 if number is signal.SIGTERM:
-                    assert stage.process.wait(END_S) in (0, -signal.SIGTERM)
+                    assert harness.process.wait(END_S) in (0, -signal.SIGTERM)
                 else:
-                    tally = stage.round()
+                    tally = harness.round()
                     assert tally.code == 0 and not tally.lost, tally.notes
             finally:
-                stage.end()
+                harness.end()
 
 
-class Uncounted:
-    """A socket on a system that keeps no count of received bytes."""
+class SocketWithoutByteCount:
+    """A socket on a system whose TCP_INFO has no count of received bytes."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -403,19 +427,19 @@
         return getattr(self.sock, name)
 
     def getsockopt(self, level: int, option: int, size: int = 0) -> object:
-        told = self.sock.getsockopt(level, option, size) if size else self.sock.getsockopt(level, option)
+        value = self.sock.getsockopt(level, option, size) if size else self.sock.getsockopt(level, option)
         if option != socket.TCP_INFO:
-            return told
-        assert isinstance(told, bytes)
-        return told[:1] + bytes(size - 1)
+            return value
+        assert isinstance(value, bytes)
+        return value[:1] + bytes(size - 1)
 
 
-def test_an_idle_connection_may_go_where_the_system_counts_no_received_bytes(front: Front) -> None:
+def test_an_idle_connection_may_close_where_the_kernel_counts_no_received_bytes(front: Front) -> None:
     front.set_up()
     front.offered().caller.answer(BODY)
     assert front.reads().startswith(b"SIP/2.0 200")
     for link in front.callers.links:
-        link.sock = Uncounted(link.sock)  # type: ignore[assignment]
+        link.sock = SocketWithoutByteCount(link.sock)  # type: ignore[assignment]
         assert not link.unread()
     until = now_ms() + PATIENCE_S * 1000
     while not front.gone() and now_ms() < until:
--- a/tests/test_one_answer.py
+++ b/tests/test_one_answer.py
@@ -1,4 +1,7 @@
-"""Report 93b395: exactly one final answer to each request, whatever repeats, overtakes or crosses it."""
+"""Exactly one final answer to each request, whatever repeats, overtakes or crosses it (report 93b395).
+
+Guards against a second answer, a release before or without an answer, and an answer after a CANCEL.
+"""
 
 from __future__ import annotations
 
@@ -18,9 +21,9 @@
 from tests.rig.front import Front, Gate
 from tests.scenario import BODY, PATIENCE_S, Platform, play
 
-QUIET_S = 0.2
+IDLE_S = 0.2
 
-CASES = {
+SCENARIOS = {
     "no_second_answer_to_a_set_up_repeated_on_its_connection": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
@@ -43,7 +46,7 @@
         caller expect 200 a
         caller expect BYE a Reason:Q.850;cause=16
     """,
-    "no_second_answer_when_the_release_came_first_and_the_answer_never": """
+    "one_refusal_when_a_release_arrives_and_no_answer_follows": """
         caller send INVITE a dest=1 patience=900
         hub1 expect INVITE a
         hub1 send BYE a Reason:Q.850;cause=16
@@ -61,7 +64,7 @@
         hub1 expect 200 a
         caller wait 200
     """,
-    "no_release_of_a_call_that_was_given_up": """
+    "no_release_of_a_call_that_was_cancelled": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         caller send CANCEL a
@@ -70,7 +73,7 @@
         hub1 expect 200 a
         caller wait 200
     """,
-    "the_answer_of_a_standing_call_for_a_set_up_sent_again_on_a_new_connection": """
+    "the_answer_of_an_established_call_for_a_set_up_sent_again_on_a_new_connection": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         hub1 send 200 a
@@ -83,7 +86,7 @@
         hub1 send BYE a Reason:Q.850;cause=16
         caller2 expect BYE a
     """,
-    "nothing_sent_again_within_the_release_time_of_a_call_that_was_given_up": """
+    "no_attempt_within_the_release_time_of_a_call_that_was_cancelled": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         caller send CANCEL a
@@ -95,57 +98,57 @@
 }
 
 
-@pytest.mark.parametrize("name", CASES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_one_answer(name: str, tmp_path: Path) -> None:
-    stage = Platform(tmp_path)
+    platform = Platform(tmp_path)
     try:
-        play(stage, CASES[name])
+        play(platform, SCENARIOS[name])
     finally:
-        log = stage.end()
+        log = platform.end()
     assert "Traceback" not in log, log
 
 
 @pytest.fixture
 def front() -> Iterator[Front]:
-    made = Front()
-    yield made
+    test_front = Front()
+    yield test_front
     steps.hold = None
-    made.end()
+    test_front.end()
 
 
-def give_up(front: Front, call: str = "a") -> None:
+def cancel_set_up(front: Front, call: str = "a") -> None:
     headers = ("call-id", call), ("cseq", "1 CANCEL")
     front.sock.sendall(encode(request("CANCEL", f"sip:{call}@net", *headers)))
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
     assert isinstance(event, Withdrawn)
 
 
-def read_all(front: Front, quiet_s: float = QUIET_S) -> bytes:
-    told = b""
-    front.sock.settimeout(quiet_s)
+def read_until_idle(front: Front, idle_s: float = IDLE_S) -> bytes:
+    received = b""
+    front.sock.settimeout(idle_s)
     with suppress(TimeoutError):
         while data := front.sock.recv(65536):
-            told += data
-    return told
+            received += data
+    return received
 
 
-def test_no_answer_once_the_caller_has_given_up(front: Front) -> None:
+def test_no_answer_after_the_caller_has_cancelled(front: Front) -> None:
     front.set_up()
     offer = front.offered()
-    give_up(front)
+    cancel_set_up(front)
     offer.caller.answer(BODY)
-    assert read_all(front) == b""
+    assert read_until_idle(front) == b""
 
 
-def test_no_answer_that_was_still_queued_when_the_caller_gave_up(front: Front) -> None:
+def test_no_answer_that_was_still_queued_when_the_caller_cancelled(front: Front) -> None:
     front.set_up()
     offer = front.offered()
     gate = Gate(steps.WRITING)
     offer.caller.answer(BODY)
     gate.held()
-    give_up(front)
+    cancel_set_up(front)
     gate.go.set()
-    assert read_all(front) == b""
+    assert read_until_idle(front) == b""
 
 
 def test_one_refusal_when_reader_and_main_thread_both_refuse_at_the_end(front: Front) -> None:
@@ -157,7 +160,7 @@
     front.life.core_gone(now_ms())
     front.callers.flush()
     gate.go.set()
-    assert read_all(front).count(b"SIP/2.0 503") == 1
+    assert read_until_idle(front).count(b"SIP/2.0 503") == 1
 
 
 def test_one_answer_when_core_and_main_thread_both_answer(front: Front) -> None:
@@ -165,19 +168,19 @@
     offer = front.offered()
     offer.caller.refuse(0.0, Why.TURNED_AWAY)
     offer.caller.refuse(0.0, Why.TURNED_AWAY)
-    assert read_all(front).count(b"SIP/2.0 503") == 1
+    assert read_until_idle(front).count(b"SIP/2.0 503") == 1
 
 
-def test_a_caller_that_closed_is_not_reachable_before_its_end_is_read(front: Front) -> None:
+def test_a_caller_that_closed_is_unreachable_before_the_end_of_its_connection_is_read(front: Front) -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
-        far = socket.create_connection(server.getsockname())
-        near, _ = server.accept()
-    link = CallerLink(near, lambda on, m: None, lambda on, r: None, lambda on: None, lambda on: 0)
-    caller = CallerTransaction(front.callers, link, request("INVITE", "sip:a@net", ("call-id", "a")))
-    assert caller.reachable()
-    far.close()
+        peer_sock = socket.create_connection(server.getsockname())
+        sock, _ = server.accept()
+    link = CallerLink(sock, lambda on, m: None, lambda on, r: None, lambda on: None, lambda on: 0)
+    transaction = CallerTransaction(front.callers, link, request("INVITE", "sip:a@net", ("call-id", "a")))
+    assert transaction.reachable()
+    peer_sock.close()
     until = now_ms() + PATIENCE_S * 1000
-    while caller.reachable() and now_ms() < until:
+    while transaction.reachable() and now_ms() < until:
         pass
-    assert not caller.reachable()
-    near.close()
+    assert not transaction.reachable()
+    sock.close()
