--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -42,7 +42,7 @@
     ) -> None:
         self.inbox, self.life = inbox, life or Lifecycle()
         self.via = f"SIP/2.0/TCP {host}:{port}"
-        self.retry_after_ms = settings.max_retry_advice_ms or 1000.0
+        self.retry_after_ms = settings.max_retry_after_ms or 1000.0
         self.max_patience_ms = 2 * max(call_class.deadline_ms for call_class in settings.classes)
         self.max_links, self.accept_limit = int(sockets * IDLE_CLOSE_SHARE), int(sockets * ACCEPT_SHARE)
         self.last_sweep_ms = now_ms()
--- a/landingdeal/net/config.py
+++ b/landingdeal/net/config.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgerstile.interface import ExchangeList, Health, Listed, ListKind, Settings
+from badgerstile.interface import ExchangeEntry, ExchangeList, Health, ListKind, Settings
 from badgerstile.wire import WireError, read_settings
 from landingdeal.errors import ConfigError, address
 
-HEALTH_BY_STATUS = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.GONE}
+HEALTH_BY_STATUS = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.REMOVED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,13 +58,15 @@
             host_port = str(endpoint.get("address") or "")
             if host_port:
                 address(host_port, "an endpoint")
-            elif health is not Health.GONE:
+            elif health is not Health.REMOVED:
                 raise ConfigError(f"no address for {endpoint['name']}")
             entries.append(
-                Listed(name, int(endpoint["group"]) if "group" in endpoint else -1, health, up_since_ms)
+                ExchangeEntry(
+                    name, int(endpoint["group"]) if "group" in endpoint else -1, health, up_since_ms
+                )
             )
             addresses.append(HubAddress(name, host_port, health))
-        kind = ListKind.WHOLE if topology.get("snapshot") else ListKind.CHANGES
+        kind = ListKind.FULL if topology.get("snapshot") else ListKind.CHANGES
         return TopologyEvent(int(raw["offset"]), ExchangeList(kind, tuple(entries)), tuple(addresses))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigError(
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -6,7 +6,7 @@
 import time
 from dataclasses import dataclass
 
-from badgerstile.interface import Ending, Settings
+from badgerstile.interface import AttemptOutcome, Settings
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.broker import Inbox
 from landingdeal.core.events import Attempt, Ended, GroupState, HubDied, HubReleased, Probed, Stood
@@ -31,10 +31,10 @@
 # 504: the set-up was interrupted on its way and may have been carried out. A live lab hub sends
 # it, so that it is no sign of a failure
 OUTCOME_BY_STATUS = {
-    503: Ending.TURNED_BACK,
-    480: Ending.NOT_SENT,
-    504: Ending.CANCELLED,
-    408: Ending.TIMED_OUT,
+    503: AttemptOutcome.TURNED_BACK,
+    480: AttemptOutcome.NOT_SENT,
+    504: AttemptOutcome.CANCELLED,
+    408: AttemptOutcome.TIMED_OUT,
 }
 
 
@@ -78,7 +78,7 @@
 
     def __init__(self, settings: Settings, inbox: Inbox, local_address: str, dial_timeout_ms: float) -> None:
         self.settings, self.inbox, self.dial_timeout_ms = settings, inbox, dial_timeout_ms
-        shortest_slo_ms = min(call_class.aim_ms for call_class in settings.classes)
+        shortest_slo_ms = min(call_class.slo_ms for call_class in settings.classes)
         self.unresponsive_ms = max(shortest_slo_ms * UNRESPONSIVE_SLO_SHARE, MIN_UNRESPONSIVE_MS)
         self.via = ("via", f"SIP/2.0/TCP {local_address}")
         self.lock = threading.Lock()
@@ -117,7 +117,7 @@
             undeliverable = self._take_queued(hub) if hub.draining else []
             hub.changed.notify()
         for attempt in undeliverable:
-            self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
         if failed_before_ms:  # the earlier reset was the end of its process
             self.inbox.tell(HubDied(name, failed_before_ms))
         if start_keeper:
@@ -261,7 +261,7 @@
                     ]
                     hub.queued = [a for a in hub.queued if a not in undeliverable]
                 for attempt in undeliverable:
-                    self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+                    self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
                 if failed_before_ms:
                     # a reset alone is no proof of a failure: peers also reset idle connections and keep their
                     # calls. A refused connect after it, or two refused in a row, show that the process ended
@@ -279,7 +279,7 @@
         if failed_before_ms:
             self.inbox.tell(HubDied(hub.name, failed_before_ms))
         for attempt in queued:
-            self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
 
     def _on_connected(self, hub: Hub, link: HubLink) -> None:
         """Sends what is queued, under one lock: a cancellation finds each attempt either queued or sent."""
@@ -307,7 +307,7 @@
             self.inbox.tell(HubDied(hub.name, failed_before_ms))
         say(f"connected to {hub.name!r}")
         for attempt in undeliverable:
-            self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
 
     def _on_connection_ended(self, hub: Hub, link: HubLink, reset: bool) -> None:
         with hub.changed:
@@ -331,7 +331,7 @@
             # CANCELLED, not UNREACHABLE: the end of a connection is no proof that the lab hub has failed (one
             # that has refuses the next connect), and UNREACHABLE would limit a healthy lab hub to one call at
             # a time and then ramp it up as if newly started
-            self.inbox.tell(Ended(attempt, Ending.CANCELLED))
+            self.inbox.tell(Ended(attempt, AttemptOutcome.CANCELLED))
         if reset and was_replaced:  # it was silent, then reset: the process there now does not know it
             self.inbox.tell(HubDied(hub.name, failed_before_ms))
 
@@ -353,7 +353,7 @@
     def set_up(self, attempt: Attempt) -> None:
         hub = self._find_hub(attempt.hub)
         if hub is None:
-            self.inbox.soon(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.soon(Ended(attempt, AttemptOutcome.UNREACHABLE))
             return
         with hub.changed:
             link = hub.link
@@ -363,7 +363,7 @@
                 hub.changed.notify()
                 return
         if link is None or not connected or not self._send_set_up(hub, link, attempt):
-            self.inbox.soon(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.soon(Ended(attempt, AttemptOutcome.UNREACHABLE))
 
     def _send_set_up(self, hub: Hub, link: HubLink, attempt: Attempt) -> bool:
         """Sends the INVITE; False if it was not sent and its end has still to be reported."""
@@ -495,7 +495,7 @@
         if message.status < 300:
             self.inbox.tell(Stood(attempt, message.body))
             return
-        ending = OUTCOME_BY_STATUS.get(message.status, Ending.ERROR)
+        ending = OUTCOME_BY_STATUS.get(message.status, AttemptOutcome.ERROR)
         reason = reason_of(message)
         self.inbox.tell(Ended(attempt, ending, reason, figures_of(message, self.settings)))
 
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -51,7 +51,7 @@
             hubs.update_hub(
                 hub_address.name,
                 hub_address.host_port,
-                hub_address.health is Health.GONE,
+                hub_address.health is Health.REMOVED,
                 hub_address.health is Health.DRAINING,
             )
         inbox.tell(News(event.change))
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -5,7 +5,7 @@
 import os
 from pathlib import Path
 
-from badgerstile.interface import ExchangeList, Health, Listed, ListKind
+from badgerstile.interface import ExchangeEntry, ExchangeList, Health, ListKind
 from landingdeal.capture.settings import CaptureSettings
 from landingdeal.capture.sink import Sink
 from landingdeal.clock import now_ms
@@ -56,8 +56,8 @@
     capture = Capture(capture_settings.read, sink, listen_address) if capture_settings.read else None
     contracts = Contracts(operator.contracts)
     broker = Broker(operator.settings, seed, inbox, front, lambda call, cause: None, contracts, life)
-    entries = tuple(Listed(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
-    inbox.tell(News(ExchangeList(ListKind.REMEMBERED, entries)))
+    entries = tuple(ExchangeEntry(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
+    inbox.tell(News(ExchangeList(ListKind.CACHED, entries)))
     front.start(capture)
     say(f"SIP front on {operator.sip.host}:{operator.sip.port}, UDP and TCP")
     run(
