--- a/landingdeal/net/transaction.py
+++ b/landingdeal/net/transaction.py
@@ -1,4 +1,4 @@
-"""One set-up of a caller as the platform's front holds it, from its arrival to its one final answer."""
+"""Server transaction of one set-up on the platform's front, from its arrival to its one final answer."""
 
 from __future__ import annotations
 
@@ -13,47 +13,48 @@
 from landingdeal.net.link import CallerLink
 from landingdeal.sip.message import Message, response
 
-STATUS = {Why.FAILED: 500, Why.FORBIDDEN: 403}  # all others: 503, trying again is harmless
+STATUS_BY_REASON = {Why.FAILED: 500, Why.FORBIDDEN: 403}  # all others: 503, so that the caller may retry
 
 
-class State(Enum):
-    """OPEN -> DECIDED -> WRITTEN; GIVEN_UP from the first two. Nothing leaves the last two."""
+class TransactionState(Enum):
+    """OPEN -> DECIDED -> WRITTEN, or CANCELLED from OPEN and DECIDED. WRITTEN and CANCELLED are final."""
 
     OPEN = "open"
-    DECIDED = "decided"  # the one final answer is queued
-    WRITTEN = "written"  # the writer has begun with it
-    GIVEN_UP = "given up"  # the caller waits no more, and no answer may follow
+    DECIDED = "decided"  # the single final answer is chosen; it waits to be written
+    WRITTEN = "written"  # the writer has begun to send it
+    CANCELLED = "given up"  # by the caller: no answer may follow
 
 
-class Front(Protocol):
-    """What a transaction needs of the table that holds it."""
+class TransactionRegistry(Protocol):
+    """Moves answered transactions out of the open ones and sends releases to callers."""
 
-    def closed_set_up(self, transaction: CallerTransaction) -> None: ...
+    def transaction_answered(self, transaction: CallerTransaction) -> None: ...
 
-    def release(self, call: str, cause: int, first: CallerLink | None = None) -> None: ...
+    def release(self, call: str, cause: int, target: CallerLink | None = None) -> None: ...
 
 
 class CallerTransaction:
-    """Core, reader, writer and main thread may all want to end it; whoever comes first does.
+    """Implements `CallerSide` for one call.
 
-    It is the `CallerSide` of its call.
+    The core, the connection's reader and writer and the main thread may all try to end it; only the first
+    transition succeeds, so that each set-up gets exactly one final answer.
     """
 
-    __slots__ = ("front", "link", "invite", "_state", "_lock")
+    __slots__ = ("registry", "link", "invite", "_state", "_lock")
 
-    def __init__(self, front: Front, link: CallerLink, invite: Message) -> None:
-        self.front, self.link, self.invite = front, link, invite
-        self._state, self._lock = State.OPEN, threading.Lock()
+    def __init__(self, registry: TransactionRegistry, link: CallerLink, invite: Message) -> None:
+        self.registry, self.link, self.invite = registry, link, invite
+        self._state, self._lock = TransactionState.OPEN, threading.Lock()
 
     @property
-    def state(self) -> State:
+    def state(self) -> TransactionState:
         return self._state
 
-    def _move(self, to: State, *allowed: State) -> bool:
+    def _transition(self, target: TransactionState, *allowed: TransactionState) -> bool:
         with self._lock:
             if self._state not in allowed:
                 return False
-            self._state = to
+            self._state = target
             return True
 
     @property
@@ -61,37 +62,43 @@
         return self.link
 
     def reachable(self) -> bool:
-        return self._state is not State.GIVEN_UP and self.link.peer_is_there()
+        return self._state is not TransactionState.CANCELLED and self.link.peer_reachable()
 
     def answer(self, description: bytes) -> None:
-        self._final(lambda: response(self.invite, 200, body=description), stands=True)
+        self._send_final_answer(lambda: response(self.invite, 200, body=description), establishes_call=True)
 
-    def refuse(self, come_back_ms: float, why: Why) -> None:
-        later = (("x-later-ms", str(int(come_back_ms))),) if come_back_ms > 0 else ()
-        self._final(lambda: response(self.invite, STATUS.get(why, 503), *later))
+    def refuse(self, retry_after_ms: float, reason: Why) -> None:
+        headers = (("x-later-ms", str(int(retry_after_ms))),) if retry_after_ms > 0 else ()
+        self._send_final_answer(lambda: response(self.invite, STATUS_BY_REASON.get(reason, 503), *headers))
 
-    def give_up(self) -> bool:
-        """False if its answer has been written, or is being written."""
-        return self._move(State.GIVEN_UP, State.OPEN, State.DECIDED)
+    def cancel(self) -> bool:
+        """Cancels on behalf of the caller; False if the answer has been or is being written."""
+        return self._transition(TransactionState.CANCELLED, TransactionState.OPEN, TransactionState.DECIDED)
 
-    def _final(self, made: Callable[[], Message], stands: bool = False) -> None:
-        """Queued before the set-up counts as closed: in between, the connection would look idle."""
-        if not self._move(State.DECIDED, State.OPEN):
+    def _send_final_answer(
+        self, build_response: Callable[[], Message], establishes_call: bool = False
+    ) -> None:
+        """Sends the final answer, unless there is one already or the caller has cancelled.
+
+        The answer is queued before the set-up counts as answered; the other way round, the connection would
+        look idle in between and could be closed.
+        """
+        if not self._transition(TransactionState.DECIDED, TransactionState.OPEN):
             record("answer_dropped", call=self.invite.call_id, state=self._state.value)
             return
         steps.at(steps.ANSWERED)
-        if stands:
-            self.link.trust = 2
-        self.link.send(made(), wanted=self._begins)
+        if establishes_call:
+            self.link.trust_level = 2
+        self.link.send(build_response(), still_wanted=self._begin_write)
         steps.at(steps.QUEUED)
-        self.front.closed_set_up(self)
+        self.registry.transaction_answered(self)
 
-    def _begins(self) -> bool:
-        """Asked by the writer: whether the answer still goes out."""
-        if self._move(State.WRITTEN, State.DECIDED):
+    def _begin_write(self) -> bool:
+        """Called by the writer right before it sends the answer; False if the caller has cancelled."""
+        if self._transition(TransactionState.WRITTEN, TransactionState.DECIDED):
             return True
         record("answer_dropped", call=self.invite.call_id, state=self._state.value)
         return False
 
     def release(self, cause: int) -> None:
-        self.front.release(self.invite.call_id, cause, self.link)
+        self.registry.release(self.invite.call_id, cause, self.link)
--- a/landingdeal/sip/transport.py
+++ b/landingdeal/sip/transport.py
@@ -11,7 +11,7 @@
 from landingdeal.clock import now_ms
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import say
-from landingdeal.net.link import Door, Link, dial
+from landingdeal.net.link import Acceptor, Link, dial
 from landingdeal.sip.message import MAX_MESSAGE_BYTES, MalformedMessage, Message, decode_datagram, encode
 from landingdeal.sip.transaction import Flow
 from landingdeal.threads import start_thread
@@ -124,7 +124,7 @@
 
     def start(self) -> None:
         self.lifecycle.doors += 1
-        self.listener = Door(
+        self.listener = Acceptor(
             self.host,
             self.port,
             self._accept_connection,
