--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,7 @@
-"""The platform's front: the program is started and spoken to over sockets."""
+"""The platform's front: scenarios over sockets against the started program, and its parts one by one.
+
+Guards against lost, repeated or wrong answers and releases when peers fail, stay silent or send garbage.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 from tests.scenario import ROOT, SETTINGS, Platform, play
 
 SCENARIOS = {
-    "a call stands, its hub ends it, its caller is told": """
+    "a call is established, its hub releases it, the release reaches its caller": """
         caller send INVITE a dest=1
         hub1 expect INVITE a Subject:voice X-Patience:1
         hub1 send 180 a
@@ -45,7 +48,7 @@
         hub1 expect 200 a
         caller expect BYE a Reason:Q.850;cause=16
     """,
-    "a full far processor is a refusal at once, with a time to come back": """
+    "an overloaded processor causes a refusal at once, with a retry time": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         hub1 send 503 a X-Note:ovl
@@ -53,7 +56,7 @@
         caller expect 503 a X-Later-Ms:2000
         hub1 wait 300
     """,
-    "a caller that gives up takes its attempt with it": """
+    "a cancelled set-up cancels its attempt, and an answer that crosses it is released": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         caller send CANCEL a
@@ -63,7 +66,7 @@
         hub1 expect BYE a
         caller wait 200
     """,
-    "a silent hub: given up, then not sent again within 300 ms, and one final answer": """
+    "a silent hub: the attempt is cancelled, not repeated within 300 ms, and one final answer is sent": """
         caller send INVITE a dest=1 patience=1200
         hub1 expect INVITE a
         hub1 expect CANCEL a
@@ -85,7 +88,7 @@
         hub2 expect 200 old
         front expect BYE old Reason:Q.850;cause=41
     """,
-    "a release is not told to who connected and says nothing": """
+    "a release is not sent on a connection that has carried no message": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         hub1 send 200 a
@@ -97,7 +100,7 @@
         front expect BYE a Reason:Q.850;cause=16
         silent wait 100
     """,
-    "a standing call belongs to no connection": """
+    "an established call belongs to no connection": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         hub1 send 200 a
@@ -107,14 +110,14 @@
         hub1 send BYE a Reason:Q.850;cause=16
         front expect BYE a Reason:Q.850;cause=16
     """,
-    "nothing new goes to a hub that drains": """
+    "a draining hub gets no new set-ups": """
         bus tell hub1 draining
         hub2 wait 100
         caller send INVITE a dest=1 patience=400
         hub1 wait 300
         caller expect 503 a
     """,
-    "a hub that dies leaves no call standing": """
+    "the calls of a hub that fails are released": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         hub1 send 200 a
@@ -122,7 +125,7 @@
         hub1 dies
         caller expect BYE a Reason:Q.850;cause=41
     """,
-    "a connection that is reset cuts no call that stands, and the set-up under way goes out again": """
+    "a reset connection ends no established call, and its pending set-up is sent again": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         hub1 send 200 a
@@ -139,7 +142,7 @@
         hub1 send BYE a Reason:Q.850;cause=16
         caller expect BYE a Reason:Q.850;cause=16
     """,
-    "a set-up that broke on its way is sent again after 300 ms, and others go there meanwhile": """
+    "a set-up answered with 504 is sent again after 300 ms, and others go to that hub meanwhile": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         hub1 send 504 a
@@ -152,7 +155,7 @@
         hub1 send 200 a
         caller expect 200 a
     """,
-    "a second copy and an answer nobody asked for change nothing": """
+    "a repeated answer and an answer with an unknown id change nothing": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         hub1 send 200 x of=a
@@ -167,12 +170,12 @@
         caller expect 200 a
         hub1 expect BYE a
     """,
-    "a spoilt answer ends its connection, and the other set-up there goes out again at once": """
+    "a damaged answer ends its connection, and the other set-up there is sent again at once": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         caller send INVITE b dest=1
         hub1 expect INVITE b
-        hub1 raw {spoilt}
+        hub1 raw {damaged}
         hub1 expect end
         hub1 expect INVITE
         hub1 expect INVITE
@@ -180,7 +183,7 @@
         hub1 expect ACK b
         caller expect 200 b
     """,
-    "news that a hub is gone is late: its connection and its calls live on": """
+    "a hub that is removed from the list keeps its connection and its calls": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         hub1 send 200 a
@@ -191,7 +194,7 @@
         hub1 send BYE a Reason:Q.850;cause=16
         caller expect BYE a Reason:Q.850;cause=16
     """,
-    "a framed message that is not SIP gets 400 and its connection lives": """
+    "a framed message that is not SIP gets 400 and its connection stays open": """
         caller raw NONSENSE\\r\\nCall-ID:\\x20x\\r\\nCSeq:\\x201\\x20X\\r\\nContent-Length:\\x200\\r\\n\\r\\n
         caller expect 400
         caller send INVITE a dest=x
@@ -199,7 +202,7 @@
         caller send OPTIONS b
         caller expect 200 b
     """,
-    "broken framing closes that connection alone": """
+    "broken framing closes only that connection": """
         caller send OPTIONS a
         caller expect 200 a
         caller raw INVITE\\x20x\\x20SIP/2.0\\r\\nContent-Length:\\x20-4\\r\\n\\r\\n
@@ -214,13 +217,13 @@
         hub2 expect ACK a
         caller expect 503 a
     """,
-    "an unknown class has failed, and an unknown method is named": """
+    "an unknown class gets 500 and an unknown method 405": """
         caller send INVITE a class=other
         caller expect 500 a
         caller send PUBLISH b
         caller expect 405 b
     """,
-    "the id of an open call serves nobody else, nor ends that call": """
+    "the id of a pending call can't be used for another call, nor to cancel it": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         caller2 send INVITE a dest=2
@@ -236,7 +239,7 @@
         caller2 close
         hub1 wait 200
     """,
-    "a new configuration: the event bus elsewhere goes on with its numbers, and no call is dropped": """
+    "a new configuration: the event numbers continue on the new event bus, and no call is dropped": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         program reload bus2
@@ -255,7 +258,7 @@
         caller send INVITE c dest=2
         hub2 expect INVITE c
     """,
-    "stopped: what is open is answered, new set-ups too, then it ends well": """
+    "stopped: pending and new set-ups are answered, then the program exits with 0": """
         caller send INVITE a dest=1
         hub1 expect INVITE a
         program stop
@@ -271,7 +274,7 @@
 
 
 ANSWER = "SIP/2.0\\x20200\\x20OK\\r\\nCall-ID:\\x200000000000000061\\r\\nCSeq:\\x201\\x20INVITE\\r\\n"
-SPOILT = {
+DAMAGED_ANSWERS = {
     "noise": "\\x01\\x02\\r\\n\\r\\n",
     "no header": ANSWER + "no\\x20colon\\r\\nContent-Length:\\x202\\r\\n\\r\\n\\r\\n",
     "version": ANSWER.replace("2.0", "9.9", 1) + "Content-Length:\\x202\\r\\n\\r\\n\\r\\n",
@@ -281,36 +284,36 @@
     "cut off": ANSWER,
     "a short body": ANSWER + "Content-Length:\\x2071\\r\\n\\r\\n9d41c07a5be2f318\\r\\n",
 }
-PLAYS = {
-    f"{name} {kind}".strip(): text.replace("{spoilt}", spoilt)
+EXPANDED_SCENARIOS = {
+    f"{name} {damage}".strip(): text.replace("{damaged}", damaged)
     for name, text in SCENARIOS.items()
-    for kind, spoilt in (SPOILT.items() if "{spoilt}" in text else [("", "")])
+    for damage, damaged in (DAMAGED_ANSWERS.items() if "{damaged}" in text else [("", "")])
 }
 
 
-@pytest.mark.parametrize("name", PLAYS)
+@pytest.mark.parametrize("name", EXPANDED_SCENARIOS)
 def test_platform(name: str, tmp_path: Path) -> None:
-    stage = Platform(tmp_path)
+    harness = Platform(tmp_path)
     try:
-        play(stage, PLAYS[name])
+        play(harness, EXPANDED_SCENARIOS[name])
     except AssertionError as error:
-        raise AssertionError(f"{error}; the program said: {stage.end()}") from None
+        raise AssertionError(f"{error}; the program said: {harness.end()}") from None
     finally:
-        log = stage.end()
+        log = harness.end()
     assert "Traceback" not in log, log
 
 
 @pytest.mark.parametrize(
-    "figures",
+    "values",
     [
         "dest=-3", "dest=70000", "dest=nan", "dest=1e0", "dest=1_0", "dest=", "width=0", "width=999",
         "via=-2", "transit=2", "patience=-5", "patience=nan", "patience=0", "patience=" + "9" * 23,
         "patience=1e3", "dest=\u0661", "x=" + "9" * 5000,
     ],
 )  # fmt: skip
-def test_figures_out_of_range_are_refused_and_reach_no_hub(figures: str, running: Platform) -> None:
+def test_values_out_of_range_are_refused_and_reach_no_hub(values: str, running: Platform) -> None:
     play(running, f"""
-        caller send INVITE bad {figures}
+        caller send INVITE bad {values}
         caller expect 400 bad
         hub1 wait 20
     """)  # fmt: skip
@@ -318,19 +321,19 @@
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Platform]:
-    stage = Platform(tmp_path_factory.mktemp("running"))
-    yield stage
-    assert "Traceback" not in stage.end()
+    harness = Platform(tmp_path_factory.mktemp("running"))
+    yield harness
+    assert "Traceback" not in harness.end()
 
 
 SIP = (ROOT / "deploy/operator.toml").read_text()
 CONTRACT = '[[contract]]\nteam = "payments"\nclasses = ["voice"]\nper_s = 0.01\nat_once = 1\n'
 
 
-def test_contracts_hold_on_the_platform_and_the_sip_front_stays_off(tmp_path: Path) -> None:
-    stage = Platform(tmp_path, CONTRACT + SIP)
+def test_contracts_apply_on_the_platform_and_the_sip_front_stays_off(tmp_path: Path) -> None:
+    harness = Platform(tmp_path, CONTRACT + SIP)
     try:
-        play(stage, """
+        play(harness, """
             caller send INVITE a Organization:payments
             hub1 expect INVITE a
             caller send INVITE b Organization:payments
@@ -343,47 +346,49 @@
             caller expect 200 a
         """)  # fmt: skip
     finally:
-        log = stage.end()
+        log = harness.end()
     assert "SIP front" not in log
 
 
-def test_a_peer_that_does_not_read_is_cut_off_and_stalls_nobody() -> None:
-    near, far = socket.socketpair()
+def test_a_peer_that_does_not_read_is_disconnected_and_blocks_no_sender() -> None:
+    sock, peer_sock = socket.socketpair()
     ended: queue.Queue[bool] = queue.Queue()
-    link = Link(near, lambda on, message: None, lambda on, reset: ended.put(reset))
+    link = Link(sock, lambda on, message: None, lambda on, reset: ended.put(reset))
     link.start()
     bulky = request("OPTIONS", "sip:x@net", ("via", "x" * 8000))
-    sent = 0
-    while sent < 20000 and link.send(bulky):  # never waits
-        sent += 1
-    assert MAX_QUEUED_MESSAGES <= sent < 20000 and not link.alive
+    queued = 0
+    while queued < 20000 and link.send(bulky):  # never waits
+        queued += 1
+    assert MAX_QUEUED_MESSAGES <= queued < 20000 and not link.alive
     assert ended.get(timeout=5) is False
-    far.close()
+    peer_sock.close()
 
 
 @pytest.mark.parametrize(
     "first",
     ["", "INVITE x SIP/2.0\r\nX-Pad: ", "INVITE x SIP/2.0\r\nContent-Length: 9\r\n\r\nabc"],
 )
-def test_what_is_not_whole_in_time_ends_its_connection(first: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_message_that_is_not_complete_in_time_ends_its_connection(
+    first: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(CallerLink, "FIRST_MESSAGE_TIMEOUT_MS", 300.0)
     monkeypatch.setattr(CallerLink, "MESSAGE_TIMEOUT_MS", 300.0)
-    near, far = socket.socketpair()
+    sock, peer_sock = socket.socketpair()
     ended: queue.Queue[bool] = queue.Queue()
     ended_with = lambda on, reset: ended.put(reset)  # noqa: E731
-    CallerLink(near, lambda on, message: None, ended_with, lambda on: None, lambda on: 0).start()
-    far.sendall(first.encode())
+    CallerLink(sock, lambda on, message: None, ended_with, lambda on: None, lambda on: 0).start()
+    peer_sock.sendall(first.encode())
     until = now_ms() + 5000
     with suppress(OSError):
         while ended.empty() and now_ms() < until:  # byte by byte: the deadline does not move
             time.sleep(0.02)
-            far.sendall(b"p" if first else b"\r\n")
+            peer_sock.sendall(b"p" if first else b"\r\n")
     assert ended.get(timeout=5) is False
-    far.close()
+    peer_sock.close()
 
 
 @pytest.mark.parametrize("size", [60 * 1024 * 1024, 3_000_000_000])
-def test_what_is_far_too_large_is_refused_and_not_kept(size: int, running: Platform) -> None:
+def test_an_oversized_message_is_refused_and_not_kept_in_memory(size: int, running: Platform) -> None:
     with socket.create_connection(("127.0.0.1", running.port)) as big:
         head = f"INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\nContent-Length: {size}\r\n\r\n"
         big.settimeout(8)
@@ -391,9 +396,9 @@
             big.sendall(head.encode())
             for _ in range(60):
                 big.sendall(bytes(1024 * 1024))
-        if size < 100_000_000:  # all of it was read, so that the refusal is not lost
-            told = b"".join(iter(lambda: big.recv(100), b""))
-            assert told.startswith(b"SIP/2.0 413") and told.endswith(b"\r\n\r\n")
+        if size < 100_000_000:  # all of it is read, so that the refusal arrives
+            received = b"".join(iter(lambda: big.recv(100), b""))
+            assert received.startswith(b"SIP/2.0 413") and received.endswith(b"\r\n\r\n")
     status = Path(f"/proc/{running.program.pid}/status").read_text()
     peak = next(line for line in status.splitlines() if line.startswith("VmHWM"))
     assert int(peak.split()[1]) < 60 * 1024
@@ -406,28 +411,30 @@
     )
 
 
-def test_callers_that_ask_once_and_hold_on_make_room_for_others() -> None:
+def test_idle_connections_of_callers_are_closed_to_make_room_for_new_ones() -> None:
     settings = read_settings(json.dumps(SETTINGS).encode())
     callers = CallerConnections(settings, Inbox(), "127.0.0.1", free_port(), 20)
     callers.ready.set()
-    where = callers.acceptor.listener.getsockname()
-    asked = b"OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
-    held = []
+    address = callers.acceptor.listener.getsockname()
+    options_request = (
+        b"OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
+    )
+    connections = []
     for _ in range(60):
-        held.append(socket.create_connection(where))
-        held[-1].settimeout(5)
-        held[-1].sendall(asked)
-        assert held[-1].recv(100).startswith(b"SIP/2.0 200"), "the newest is not served"
+        connections.append(socket.create_connection(address))
+        connections[-1].settimeout(5)
+        connections[-1].sendall(options_request)
+        assert connections[-1].recv(100).startswith(b"SIP/2.0 200"), "the newest connection is not served"
     until = now_ms() + 5000
     while len(callers.links) > 8 and now_ms() < until:
         time.sleep(0.01)
     assert len(callers.links) <= 8
     callers.acceptor.listener.close()
-    for sock in held:
+    for sock in connections:
         sock.close()
 
 
-def test_a_silent_hub_is_written_off_once_before_eight_seconds() -> None:
+def test_a_silent_hub_is_declared_failed_once_within_eight_seconds() -> None:
     inbox = Inbox()
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     hub = hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
@@ -437,37 +444,37 @@
     assert [event for event in inbox.take(last)] == [HubDied(b"h", last + 7250)]
 
 
-def test_a_hub_that_was_gone_is_connected_to_again_whatever_is_left_of_it() -> None:
+def test_a_hub_that_was_removed_is_connected_again_while_its_old_connection_is_open() -> None:
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
-        where = f"127.0.0.1:{server.getsockname()[1]}"
-        hubs.update_hub(b"h", where, False)
+        address = f"127.0.0.1:{server.getsockname()[1]}"
+        hubs.update_hub(b"h", address, False)
         silent, _ = server.accept()
         hub, until = hubs.hubs[b"h"], now_ms() + 5000
         while hub.link is None and now_ms() < until:
             time.sleep(0.01)
-        hubs.update_hub(b"h", where, True)
+        hubs.update_hub(b"h", address, True)
         hubs.check_hubs(
             hub.last_received_ms + 2600
-        )  # silent by now: its connection is in doubt, and still open
+        )  # silent by now: its connection is to be replaced, and still open
         while hub.keeper_running and now_ms() < until:
             time.sleep(0.01)
         assert hub.pending and not hub.keeper_running
-        hubs.update_hub(b"h", where, False)
+        hubs.update_hub(b"h", address, False)
         again, _ = server.accept()
         for sock in (silent, again):
             sock.close()
 
 
-def test_hubs_that_are_gone_leave_nothing_behind() -> None:
+def test_removed_hubs_leave_no_connection_thread_or_entry() -> None:
     inbox = Inbox()
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
-        where, until = f"127.0.0.1:{server.getsockname()[1]}", now_ms() + 5000
-        for name in (b"a", b"b"):  # the second has the address of the first, whose end is told nowhere
-            hubs.update_hub(name, where, False)
+        address, until = f"127.0.0.1:{server.getsockname()[1]}", now_ms() + 5000
+        for name in (b"a", b"b"):  # the second has the address of the first, whose removal is not reported
+            hubs.update_hub(name, address, False)
             server.accept()
         old = hubs.hubs[b"a"]
         while (old.keeper_running or old.pending) and now_ms() < until:
@@ -478,15 +485,17 @@
         hubs.check_hubs(now_ms() + 7100)
         hubs.check_hubs(now_ms() + 7200)
         assert set(hubs.hubs) == {b"b"}
-        hubs.update_hub(b"b", where, True)
-        while hubs.hubs and now_ms() < until:  # silent and gone: its connection is closed and it is forgotten
+        hubs.update_hub(b"b", address, True)
+        while (
+            hubs.hubs and now_ms() < until
+        ):  # silent and removed: its connection is closed and its entry deleted
             hubs.check_hubs(now_ms() + 7100)
             time.sleep(0.01)
         assert not hubs.hubs
 
 
 @pytest.mark.parametrize("restarted", [True, False])
-def test_a_connection_that_fell_silent_is_replaced_and_only_a_reset_is_a_restart(restarted: bool) -> None:
+def test_a_silent_connection_is_replaced_and_only_a_reset_counts_as_a_restart(restarted: bool) -> None:
     inbox = Inbox()
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
@@ -497,10 +506,10 @@
         while hub.link is None and now_ms() < until:
             time.sleep(0.01)
         first = hub.link
-        nobody = CallerTransaction(None, None, None)  # type: ignore[arg-type]
-        offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", nobody)
-        sent = Attempt(offer, 0, b"h", now_ms(), now_ms() + 1500)
-        hubs.set_up(sent)
+        caller = CallerTransaction(None, None, None)  # type: ignore[arg-type]
+        offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", caller)
+        attempt = Attempt(offer, 0, b"h", now_ms(), now_ms() + 1500)
+        hubs.set_up(attempt)
         assert first is not None
         hubs.check_hubs(first.first_unanswered_ms + 370)
         assert hub.link is first
@@ -516,45 +525,45 @@
             old.close()
         else:
             assert hub.link is not None
-            hub.link.last_answer_ms = first.probed_ms + 1  # it answers there
+            hub.link.last_answer_ms = first.probed_ms + 1  # the new connection gets answers
             hubs.check_hubs(first.probed_ms + 251)
-        told: list[object] = []
-        while len(told) < 1 + restarted and now_ms() < until:
-            told += inbox.take(until)
-        assert told[0] == Ended(sent, AttemptOutcome.CANCELLED)
-        assert told[1:] == ([HubDied(b"h", hub.connected_ms)] if restarted else [])
+        received: list[object] = []
+        while len(received) < 1 + restarted and now_ms() < until:
+            received += inbox.take(until)
+        assert received[0] == Ended(attempt, AttemptOutcome.CANCELLED)
+        assert received[1:] == ([HubDied(b"h", hub.connected_ms)] if restarted else [])
         new.close()
 
 
-def test_a_handler_that_goes_wrong_ends_its_connection(capsys: pytest.CaptureFixture[str]) -> None:
-    near, far = socket.socketpair()
+def test_a_failing_handler_ends_its_connection(capsys: pytest.CaptureFixture[str]) -> None:
+    sock, peer_sock = socket.socketpair()
     ended: queue.Queue[bool] = queue.Queue()
 
-    def fails(on: Link, message: object) -> None:
-        raise RuntimeError("on purpose")
+    def fail(on: Link, message: object) -> None:
+        raise RuntimeError("injected fault")
 
-    Link(near, fails, lambda on, reset: ended.put(reset)).start()
-    far.sendall(encode(request("OPTIONS", "sip:x@net", ("call-id", "1"), ("cseq", "1 OPTIONS"))))
-    assert ended.get(timeout=5) is False and "on purpose" in capsys.readouterr().err
-    far.close()
+    Link(sock, fail, lambda on, reset: ended.put(reset)).start()
+    peer_sock.sendall(encode(request("OPTIONS", "sip:x@net", ("call-id", "1"), ("cseq", "1 OPTIONS"))))
+    assert ended.get(timeout=5) is False and "injected fault" in capsys.readouterr().err
+    peer_sock.close()
 
 
-def test_time_outs_tell_apart_a_mute_connection_from_a_slow_hub() -> None:
+def test_time_outs_distinguish_an_unresponsive_connection_from_a_slow_hub() -> None:
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
     hub = hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
-    nobody = CallerTransaction(None, None, None)  # type: ignore[arg-type]
+    caller = CallerTransaction(None, None, None)  # type: ignore[arg-type]
     old, new = (HubLink(socket.socketpair()[0], lambda on, m: None, lambda on, r: None) for _ in range(2))
-    offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", nobody)
-    for answered, mute in ((False, False), (True, True)):
+    offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", caller)
+    for answered, unresponsive in ((False, False), (True, True)):
         attempt = Attempt(offer, 0, b"h", now_ms() + 1, now_ms() + 1500)
         hub.link, hub.pending = old, {old: {"a": attempt}}
         assert not hubs.cancel(attempt)  # the hub itself may be slow
         hub.link, hub.pending = new, {old: {"a": attempt}, new: {}}
         new.last_answer_ms = attempt.sent_ms + 1 if answered else 0.0
-        assert hubs.cancel(attempt) is mute
+        assert hubs.cancel(attempt) is unresponsive
 
 
-def test_a_probe_without_an_answer_is_told_as_failed() -> None:
+def test_a_probe_without_an_answer_is_reported_as_failed() -> None:
     inbox = Inbox()
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
@@ -580,7 +589,7 @@
         (None, '[[contract]]\nteam = "a"\nclasses = []\nper_s = 0\nat_once = 1', "must be above 0"),
     ],
 )
-def test_a_bad_file_ends_the_start_with_one_line(
+def test_an_unusable_file_ends_the_start_with_one_line(
     config: str | None, operator: str, line: str, tmp_path: Path
 ) -> None:
     env = {key: value for key, value in os.environ.items() if key != "ROUTER_CONFIG"}
@@ -591,9 +600,9 @@
     if operator:
         (tmp_path / "o.toml").write_text(operator)
         command += ["--operator", str(tmp_path / "o.toml")]
-    done = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True)
-    assert done.returncode == 2
-    assert line in done.stderr and done.stderr.count("\n") == 1
+    result = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True)
+    assert result.returncode == 2
+    assert line in result.stderr and result.stderr.count("\n") == 1
 
 
 EVENT = json.dumps({"offset": 7, "topology": {"snapshot": False, "endpoints": [
@@ -601,12 +610,12 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_the_event_bus_is_read_from_the_last_event_on(chunked: bool) -> None:
-    told: queue.Queue[TopologyEvent] = queue.Queue()
+def test_the_event_bus_is_resumed_after_the_last_event(chunked: bool) -> None:
+    received: queue.Queue[TopologyEvent] = queue.Queue()
     with socket.create_server(("127.0.0.1", 0)) as bus:
-        reader = BusReader(("127.0.0.1", bus.getsockname()[1]), 6, told.put)
+        reader = BusReader(("127.0.0.1", bus.getsockname()[1]), 6, received.put)
         reader.start()
-        for offset in (6, 7):  # the second time it has seen event 7, so that nothing is told again
+        for offset in (6, 7):  # the second time it has seen event 7, which must not be passed on again
             sock, _ = bus.accept()
             with sock:
                 assert f"Last-Event-ID: {offset}\r\n" in sock.recv(4096).decode()
@@ -614,131 +623,131 @@
                 if chunked:
                     parts = body[:30], body[30:]
                     body = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts)
-                how = "Transfer-Encoding: chunked\r\n" if chunked else ""
-                sock.sendall(f"HTTP/1.1 200 OK\r\n{how}\r\n".encode() + body)
+                encoding_header = "Transfer-Encoding: chunked\r\n" if chunked else ""
+                sock.sendall(f"HTTP/1.1 200 OK\r\n{encoding_header}\r\n".encode() + body)
                 if offset == 6:
-                    event = told.get(timeout=5)
+                    event = received.get(timeout=5)
         reader.stopped = True
     assert event.offset == 7 and event.addresses == (HubAddress(b"s-1", "127.0.0.1:9", Health.DRAINING),)
-    assert told.empty()
+    assert received.empty()
 
 
 @pytest.mark.parametrize(("ours", "reset"), [(True, False), (False, True)])
 def test_only_the_peer_can_reset_a_link(ours: bool, reset: bool) -> None:
     ended: queue.Queue[bool] = queue.Queue()
     with socket.create_server(("127.0.0.1", 0)) as server:
-        near = socket.create_connection(server.getsockname())
-        far, _ = server.accept()
-        link = Link(near, lambda on, message: None, lambda on, was_reset: ended.put(was_reset))
-        far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock = socket.create_connection(server.getsockname())
+        peer_sock, _ = server.accept()
+        link = Link(sock, lambda on, message: None, lambda on, was_reset: ended.put(was_reset))
+        peer_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         if ours:
             link.close()
-            far.close()  # answers our close with a reset
+            peer_sock.close()  # answers our close with a reset
         link.start()
-        far.close()
+        peer_sock.close()
         assert ended.get(timeout=5) is reset
 
 
-def hub_without_a_connection(inbox: Inbox) -> tuple[HubConnections, Attempt]:
+def hub_without_connection(inbox: Inbox) -> tuple[HubConnections, Attempt]:
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
     hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
-    nobody = CallerTransaction(None, None, None)  # type: ignore[arg-type]
-    offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", nobody)
+    caller = CallerTransaction(None, None, None)  # type: ignore[arg-type]
+    offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", caller)
     return hubs, Attempt(offer, 0, b"h", now_ms(), now_ms() + 1500)
 
 
-def test_what_waits_for_a_connection_does_not_go_to_a_hub_that_drains_meanwhile() -> None:
+def test_a_set_up_queued_for_a_connection_is_not_sent_to_a_hub_that_drains_meanwhile() -> None:
     inbox = Inbox()
-    hubs, attempt = hub_without_a_connection(inbox)
+    hubs, attempt = hub_without_connection(inbox)
     hub = hubs.hubs[b"h"]
     hubs.set_up(attempt)
     assert hub.queued == [attempt]
-    hub.keeper_running = True  # no keeper is started here
+    hub.keeper_running = True  # no keeper thread is started here
     hubs.update_hub(b"h", "127.0.0.1:1", False, draining=True)
     assert not hub.queued and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
     hubs.set_up(attempt)
     assert not hub.queued and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
 
 
-def test_an_attempt_that_is_called_off_while_its_connection_comes_up_is_cancelled_after_it_was_sent() -> None:
-    hubs, attempt = hub_without_a_connection(Inbox())
+def test_an_attempt_cancelled_while_its_connection_comes_up_gets_its_cancel_after_its_invite() -> None:
+    hubs, attempt = hub_without_connection(Inbox())
     hub = hubs.hubs[b"h"]
     hubs.set_up(attempt)
-    near, far = socket.socketpair()
-    link = HubLink(near, lambda on, m: None, lambda on, r: None)
-    put, cancelled = link.send, []
+    sock, peer_sock = socket.socketpair()
+    link = HubLink(sock, lambda on, m: None, lambda on, r: None)
+    send_original, cancelled = link.send, []
 
     def send(message: Message, still_wanted: object = None) -> bool:
-        """The core calls it off just as its set-up is queued."""
+        """Lets the core cancel the attempt just when its INVITE is queued."""
         if message.method == "INVITE":
             canceller = threading.Thread(target=lambda: cancelled.append(hubs.cancel(attempt)))
             canceller.start()
             canceller.join(0.2)
-        return put(message)
+        return send_original(message)
 
     link.send = send  # type: ignore[method-assign]
     hubs._on_connected(hub, link)
-    far.settimeout(5)
-    told = b""
-    while b"CANCEL" not in told:
-        told += far.recv(4096)
-    assert told.index(b"INVITE sip") < told.index(b"CANCEL sip") and not hub.pending[link]
+    peer_sock.settimeout(5)
+    received = b""
+    while b"CANCEL" not in received:
+        received += peer_sock.recv(4096)
+    assert received.index(b"INVITE sip") < received.index(b"CANCEL sip") and not hub.pending[link]
     link.close()
-    far.close()
+    peer_sock.close()
 
 
-def test_a_thread_that_nothing_replaces_begins_again_after_an_exception() -> None:
-    tries: queue.Queue[int] = queue.Queue()
+def test_a_supervised_thread_restarts_after_an_exception() -> None:
+    attempts: queue.Queue[int] = queue.Queue()
 
     def work() -> None:
-        tries.put(1)
-        if tries.qsize() < 3:
-            raise RuntimeError("on purpose")
+        attempts.put(1)
+        if attempts.qsize() < 3:
+            raise RuntimeError("injected fault")
 
     start_lasting_thread("test", work)
     until = now_ms() + 5000
-    while tries.qsize() < 3 and now_ms() < until:
+    while attempts.qsize() < 3 and now_ms() < until:
         time.sleep(0.01)
-    assert tries.qsize() == 3
+    assert attempts.qsize() == 3
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "damaged",
     ["{", "[" * 100_000, '{"topology": 1}', '{"offset": 7, "topology": {"endpoints": [1]}}'],
     ids=["cut short", "too deep", "no list", "no endpoint"],
 )
-def test_an_event_that_can_not_be_used_hides_no_later_one(spoilt: str) -> None:
-    told: queue.Queue[TopologyEvent] = queue.Queue()
+def test_an_unusable_event_does_not_hide_later_ones(damaged: str) -> None:
+    received: queue.Queue[TopologyEvent] = queue.Queue()
     later = EVENT.replace('"offset": 7', '"offset": 8')
     with socket.create_server(("127.0.0.1", 0)) as bus:
         bus.settimeout(5)
-        reader = BusReader(("127.0.0.1", bus.getsockname()[1]), 6, told.put)
+        reader = BusReader(("127.0.0.1", bus.getsockname()[1]), 6, received.put)
         reader.start()
-        for _ in range(2):  # it may have been cut short: it is asked for once more
+        for _ in range(2):  # the event may have been cut off: it is requested once more
             sock, _ = bus.accept()
             with sock:
                 assert b"Last-Event-ID: 6\r\n" in sock.recv(4096)
                 sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
                 with suppress(OSError):
-                    sock.sendall(f"id: 7\ndata: {spoilt}\n\nid: 8\ndata: {later}\n\n".encode())
+                    sock.sendall(f"id: 7\ndata: {damaged}\n\nid: 8\ndata: {later}\n\n".encode())
                 sock.settimeout(1)
                 with suppress(OSError):
-                    sock.recv(1)  # the reader ends it, or has read all
-        assert told.get(timeout=5).offset == 8
+                    sock.recv(1)  # until the reader closes or has read everything
+        assert received.get(timeout=5).offset == 8
         reader.stopped = True
 
 
-def test_an_event_that_could_not_be_carried_out_is_told_again() -> None:
-    told: list[int] = []
+def test_an_event_that_could_not_be_applied_is_passed_on_again() -> None:
+    received: list[int] = []
 
-    def tell(event: TopologyEvent) -> None:
-        told.append(event.offset)
-        if len(told) == 1:
+    def on_event(event: TopologyEvent) -> None:
+        received.append(event.offset)
+        if len(received) == 1:
             raise RuntimeError("can't start new thread")
 
     with socket.create_server(("127.0.0.1", 0)) as bus:
         bus.settimeout(5)
-        reader = BusReader(("127.0.0.1", bus.getsockname()[1]), 6, tell)
+        reader = BusReader(("127.0.0.1", bus.getsockname()[1]), 6, on_event)
         reader.start()
         for _ in range(2):
             sock, _ = bus.accept()
@@ -749,25 +758,25 @@
                 with suppress(OSError):
                     sock.recv(1)
         until = now_ms() + 5000
-        while told != [7, 7] and now_ms() < until:
+        while received != [7, 7] and now_ms() < until:
             time.sleep(0.01)
         reader.stopped = True
-    assert told == [7, 7]
+    assert received == [7, 7]
 
 
 def test_a_thread_that_the_system_refuses_at_first_is_started_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    start, tries = threading.Thread.start, []
+    start, attempts = threading.Thread.start, []
 
     def refused(thread: threading.Thread) -> None:
-        tries.append(thread.name)
-        if len(tries) < 4:
+        attempts.append(thread.name)
+        if len(attempts) < 4:
             raise RuntimeError("can't start new thread")
         start(thread)
 
     monkeypatch.setattr(threading.Thread, "start", refused)
-    done = threading.Event()
-    start_lasting_thread("test", done.set)
-    assert done.wait(5) and len(tries) == 4
-    tries.clear()
+    finished = threading.Event()
+    start_lasting_thread("test", finished.set)
+    assert finished.wait(5) and len(attempts) == 4
+    attempts.clear()
     with pytest.raises(RuntimeError):
-        start_thread("test", done.set)
+        start_thread("test", finished.set)
