--- a/landingdeal/net/bus.py
+++ b/landingdeal/net/bus.py
@@ -41,6 +41,7 @@
         self.sock: socket.socket | None = None
 
     def start(self) -> None:
+        """Starts the thread that reads the event bus and reconnects to it."""
         start_lasting_thread("bus", self._run)
 
     def change_address(self, address: tuple[str, int], known: tuple[TopologyEvent, ...]) -> None:
--- a/landingdeal/net/config.py
+++ b/landingdeal/net/config.py
@@ -39,9 +39,9 @@
     host: str
     port: int
     seed: int
-    sockets: int
+    sockets: int  # limit of descriptors
     bus: tuple[str, int]
-    offset: int
+    offset: int  # number of the last event in `known`
     known: tuple[TopologyEvent, ...]
     settings: Settings
     dial_timeout_ms: float
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -141,6 +141,8 @@
         self.inbox.tell(HubDied(replaced_hub.name, now_ms()))
 
     def start(self) -> None:
+        """Starts the thread that checks for silent lab hubs."""
+
         def check_repeatedly() -> None:
             while True:
                 time.sleep(seconds_until(now_ms() + CHECK_INTERVAL_MS))
@@ -223,6 +225,7 @@
         hub.last_received_ms, hub.declared_failed = now_ms(), False
 
     def all_connected(self) -> bool:
+        """Whether each lab hub that is not removed has a connection."""
         with self.lock:
             return all(hub.link is not None or hub.removed for hub in self.hubs.values())
 
@@ -303,7 +306,7 @@
             link.close()
             self._on_connection_ended(hub, link, reset=False)
             raise
-        if failed_before_ms:  # so long after the reset, it is a new process
+        if failed_before_ms:  # so long after the reset it is a new process
             self.inbox.tell(HubDied(hub.name, failed_before_ms))
         say(f"connected to {hub.name!r}")
         for attempt in undeliverable:
@@ -317,9 +320,8 @@
             if not was_replaced:
                 hub.link = None
             elif link.replaced_ms or hub.link is not None:
-                failed_before_ms = (
-                    link.replaced_ms or hub.connected_ms
-                )  # what was set up on the new connection stands
+                # calls set up on the new connection stay established
+                failed_before_ms = link.replaced_ms or hub.connected_ms
             hub.changed.notify()
             if reset and not was_replaced:
                 hub.suspect_reset_ms = hub.last_reset_ms = failed_before_ms
--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -164,13 +164,13 @@
         with contextlib.suppress(OSError):  # a peer that does not read must not block the writer forever
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _TIMEVAL.pack(self.SEND_TIMEOUT_S, 0))
         while True:
-            message_out = self.send_queue.get()
-            if message_out is None:
+            outgoing = self.send_queue.get()
+            if outgoing is None:
                 break
             try:
                 steps.at(steps.WRITING)
-                if message_out.still_wanted is None or message_out.still_wanted():
-                    self.sock.sendall(message_out.data)
+                if outgoing.still_wanted is None or outgoing.still_wanted():
+                    self.sock.sendall(outgoing.data)
                 self.send_queue.task_done()
             except BlockingIOError:
                 self.close_reason = self.close_reason or "its peer does not read"
--- a/landingdeal/net/transaction.py
+++ b/landingdeal/net/transaction.py
@@ -1,4 +1,4 @@
-"""Server transaction of one set-up on the platform's front, from its arrival to its one final answer."""
+"""Server transaction of one set-up on the platform's front, from its arrival to its final answer."""
 
 from __future__ import annotations
 
