--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -83,7 +83,7 @@
             case "listener_closed":
                 self.life.doors = max(self.life.doors - 1, 0)
             case "core_check":
-                self._core()
+                self._check_core()
             case "core_stopped":
                 if event == "core_stopped" and self.life.core_runs and before is not Phase.RUNNING:
                     self.life.core_gone(self.now)
@@ -94,7 +94,7 @@
                     assert before is Phase.FLUSHING and (not self.open or self.now >= self.life.due_ms)
         assert self.life.phase >= before, "the phase went back"
 
-    def _core(self) -> None:
+    def _check_core(self) -> None:
         life, before = self.life, self.life.phase
         refuse_all = life.core_looks(self.open, self.inbox, self.now)
         since_stop_ms = self.now - life.stop_ms
@@ -154,8 +154,8 @@
 
 
 @given(st.integers(0, 2), st.integers(0, 2), st.booleans())
-def test_a_connection_may_close_only_without_pending_work(owed: int, unsent: int, unread: bool) -> None:
-    assert may_go(Held(owed, unsent, unread)) is ((owed, unsent, unread) == (0, 0, False))
+def test_a_connection_may_close_only_without_pending_work(unanswered: int, unsent: int, unread: bool) -> None:
+    assert may_go(Held(unanswered, unsent, unread)) is ((unanswered, unsent, unread) == (0, 0, False))
 
 
 IDLE_CONNECTIONS = st.lists(st.tuples(st.floats(0, 20000), st.floats(0, 1000), st.booleans()), max_size=40)
@@ -197,7 +197,7 @@
     test_front.end()
 
 
-def run_in_background(function: object) -> threading.Thread:
+def start_in_background(function: object) -> threading.Thread:
     assert callable(function)
     thread = threading.Thread(target=function, daemon=True)
     thread.start()
@@ -235,12 +235,12 @@
     front.set_up()
     offer = front.offered()
     gate = Gate(step)
-    answering = run_in_background(lambda: offer.caller.answer(BODY))
+    answering_thread = start_in_background(lambda: offer.caller.answer(BODY))
     gate.held()
     front.sweep()
     assert not front.gone()
     gate.go.set()
-    answering.join(PATIENCE_S)
+    answering_thread.join(PATIENCE_S)
     assert front.reads().startswith(b"SIP/2.0 200")
     until = now_ms() + PATIENCE_S * 1000
     while not front.gone() and now_ms() < until:
@@ -253,12 +253,12 @@
     front.offered().caller.answer(BODY)
     front.reads()
     gate = Gate(steps.CLOSING)
-    sweeping = run_in_background(front.sweep)
+    closing_thread = start_in_background(front.sweep)
     gate.held()
     front.set_up("b")
     second_offer = front.offered()
     gate.go.set()
-    sweeping.join(PATIENCE_S)
+    closing_thread.join(PATIENCE_S)
     assert not front.gone()
     second_offer.caller.answer(BODY)
     assert front.reads().startswith(b"SIP/2.0 200")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -355,9 +355,9 @@
     ended: queue.Queue[bool] = queue.Queue()
     link = Link(sock, lambda on, message: None, lambda on, reset: ended.put(reset))
     link.start()
-    bulky = request("OPTIONS", "sip:x@net", ("via", "x" * 8000))
+    large_message = request("OPTIONS", "sip:x@net", ("via", "x" * 8000))
     queued = 0
-    while queued < 20000 and link.send(bulky):  # never waits
+    while queued < 20000 and link.send(large_message):  # never waits
         queued += 1
     assert MAX_QUEUED_MESSAGES <= queued < 20000 and not link.alive
     assert ended.get(timeout=5) is False
@@ -375,8 +375,8 @@
     monkeypatch.setattr(CallerLink, "MESSAGE_TIMEOUT_MS", 300.0)
     sock, peer_sock = socket.socketpair()
     ended: queue.Queue[bool] = queue.Queue()
-    ended_with = lambda on, reset: ended.put(reset)  # noqa: E731
-    CallerLink(sock, lambda on, message: None, ended_with, lambda on: None, lambda on: 0).start()
+    on_end = lambda on, reset: ended.put(reset)  # noqa: E731
+    CallerLink(sock, lambda on, message: None, on_end, lambda on: None, lambda on: 0).start()
     peer_sock.sendall(first.encode())
     until = now_ms() + 5000
     with suppress(OSError):
@@ -389,15 +389,15 @@
 
 @pytest.mark.parametrize("size", [60 * 1024 * 1024, 3_000_000_000])
 def test_an_oversized_message_is_refused_and_not_kept_in_memory(size: int, running: Platform) -> None:
-    with socket.create_connection(("127.0.0.1", running.port)) as big:
+    with socket.create_connection(("127.0.0.1", running.port)) as oversized_sock:
         head = f"INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\nContent-Length: {size}\r\n\r\n"
-        big.settimeout(8)
+        oversized_sock.settimeout(8)
         with suppress(OSError):
-            big.sendall(head.encode())
+            oversized_sock.sendall(head.encode())
             for _ in range(60):
-                big.sendall(bytes(1024 * 1024))
+                oversized_sock.sendall(bytes(1024 * 1024))
         if size < 100_000_000:  # all of it is read, so that the refusal arrives
-            received = b"".join(iter(lambda: big.recv(100), b""))
+            received = b"".join(iter(lambda: oversized_sock.recv(100), b""))
             assert received.startswith(b"SIP/2.0 413") and received.endswith(b"\r\n\r\n")
     status = Path(f"/proc/{running.program.pid}/status").read_text()
     peak = next(line for line in status.splitlines() if line.startswith("VmHWM"))
@@ -439,8 +439,8 @@
     hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     hub = hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     last = hub.last_received_ms
-    for later in (2000, 6900, 7250, 7500, 9000):
-        hubs.check_hubs(last + later)
+    for silent_ms in (2000, 6900, 7250, 7500, 9000):
+        hubs.check_hubs(last + silent_ms)
     assert [event for event in inbox.take(last)] == [HubDied(b"h", last + 7250)]
 
 
@@ -450,20 +450,19 @@
         server.settimeout(5)
         address = f"127.0.0.1:{server.getsockname()[1]}"
         hubs.update_hub(b"h", address, False)
-        silent, _ = server.accept()
+        old_sock, _ = server.accept()
         hub, until = hubs.hubs[b"h"], now_ms() + 5000
         while hub.link is None and now_ms() < until:
             time.sleep(0.01)
         hubs.update_hub(b"h", address, True)
-        hubs.check_hubs(
-            hub.last_received_ms + 2600
-        )  # silent by now: its connection is to be replaced, and still open
+        # silent by then: its connection is to be replaced, and is still open
+        hubs.check_hubs(hub.last_received_ms + 2600)
         while hub.keeper_running and now_ms() < until:
             time.sleep(0.01)
         assert hub.pending and not hub.keeper_running
         hubs.update_hub(b"h", address, False)
-        again, _ = server.accept()
-        for sock in (silent, again):
+        new_sock, _ = server.accept()
+        for sock in (old_sock, new_sock):
             sock.close()
 
 
