--- a/landingdeal/net/bus.py
+++ b/landingdeal/net/bus.py
@@ -58,9 +58,8 @@
             self.address = address
             if self.sock is not None:
                 with contextlib.suppress(OSError):
-                    self.sock.shutdown(
-                        socket.SHUT_RDWR
-                    )  # ends the read in the bus thread, which closes the socket
+                    # ends the read in the bus thread, which then closes the socket
+                    self.sock.shutdown(socket.SHUT_RDWR)
         say(f"event bus: now read from {address[0]}:{address[1]}")
 
     def _apply(self, event: TopologyEvent) -> None:
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -407,9 +407,8 @@
                 link is not None and link is not hub.link and link.last_received_ms < attempt.sent_ms
             )
             unresponsive = unresponsive and hub.link is not None and hub.link.last_answer_ms > attempt.sent_ms
-            waited = (
-                now_ms() - attempt.sent_ms > self.dial_timeout_ms
-            )  # no sign of silence if the caller cancels at once
+            # a caller may cancel at once, which is no sign of a silent connection
+            waited = now_ms() - attempt.sent_ms > self.dial_timeout_ms
             if hub.link is not None and waited and hub.link.last_received_ms < attempt.sent_ms:
                 self._replace_connection(hub)
             if link is not None:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -325,9 +325,8 @@
     front.life.core_looks(0, 0, TIMES.takes)
     assert front.life.phase is Phase.FINISHING and front.life.doors == 1
     gate.go.set()
-    assert late_connection.recv(100).startswith(
-        b"SIP/2.0 503"
-    )  # the health check fails: the program is ending
+    # the health check fails: the program is ending
+    assert late_connection.recv(100).startswith(b"SIP/2.0 503")
     until = now_ms() + PATIENCE_S * 1000
     while front.life.doors and now_ms() < until:
         threading.Event().wait(seconds_until(now_ms() + 5))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -485,9 +485,8 @@
         hubs.check_hubs(now_ms() + 7200)
         assert set(hubs.hubs) == {b"b"}
         hubs.update_hub(b"b", address, True)
-        while (
-            hubs.hubs and now_ms() < until
-        ):  # silent and removed: its connection is closed and its entry deleted
+        # silent and removed: its connection is closed and its entry deleted
+        while hubs.hubs and now_ms() < until:
             hubs.check_hubs(now_ms() + 7100)
             time.sleep(0.01)
         assert not hubs.hubs
