--- a/landingdeal/lab/trial/bus.py
+++ b/landingdeal/lab/trial/bus.py
@@ -8,7 +8,7 @@
 import time
 from typing import Any
 
-from landingdeal.lab.trial.loop import Connection, Loop
+from landingdeal.lab.trial.loop import EmulatedConnection, TrialEventLoop
 from landingdeal.lab.trial.rules import Change, Record
 
 COMMENT_S = 1.0
@@ -32,29 +32,29 @@
 
 
 class Bus:
-    def __init__(self, loop: Loop, rng: random.Random, record: Record, log: EventLog) -> None:
+    def __init__(self, loop: TrialEventLoop, rng: random.Random, record: Record, log: EventLog) -> None:
         self.loop, self.rng, self.record, self.log = loop, rng, record, log
-        self.readers: dict[Connection, int] = {}  # and the last event written to each
+        self.readers: dict[EmulatedConnection, int] = {}  # and the last event written to each
         self.silent = self.refusing = False
         self.listener: socket.socket | None = loop.listen(self._accepted)
         self.port: int = self.listener.getsockname()[1]
-        loop.after(COMMENT_S, self._comment)
+        loop.call_after(COMMENT_S, self._comment)
 
     @property
     def address(self) -> str:
         return f"127.0.0.1:{self.port}"
 
     def _accepted(self, sock: socket.socket) -> None:
-        connection = Connection(self.loop, sock, lambda _c, _m: None, self._ended, raw=True)
-        self.loop.after(0.005, lambda: self._serve(connection, 100))
+        connection = EmulatedConnection(self.loop, sock, lambda _c, _m: None, self._ended, raw=True)
+        self.loop.call_after(0.005, lambda: self._serve(connection, 100))
 
-    def _serve(self, connection: Connection, tries: int) -> None:
+    def _serve(self, connection: EmulatedConnection, tries: int) -> None:
         head, end, _ = connection.received.partition(b"\r\n\r\n")
         if connection.ended or self.silent:
             return
         if not end:
             if tries:
-                self.loop.after(0.01, lambda: self._serve(connection, tries - 1))
+                self.loop.call_after(0.01, lambda: self._serve(connection, tries - 1))
             return
         if self.refusing:
             connection.send(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -69,14 +69,14 @@
         self.readers[connection] = last
         self.tell()
 
-    def _ended(self, connection: Connection) -> None:
+    def _ended(self, connection: EmulatedConnection) -> None:
         self.readers.pop(connection, None)
 
     def _comment(self) -> None:
         if not self.silent:
             for connection in list(self.readers):
                 connection.send(b":\n\n")
-        self.loop.after(COMMENT_S, self._comment)
+        self.loop.call_after(COMMENT_S, self._comment)
 
     def tell(self) -> None:
         """Writes what each reader has not had yet."""
@@ -100,7 +100,7 @@
 
     def down(self) -> None:
         if self.listener is not None:
-            self.loop.unlisten(self.listener)
+            self.loop.close_listener(self.listener)
             self.listener = None
         for connection in list(self.readers):
             connection.close(reset=True)
--- a/landingdeal/lab/trial/callers.py
+++ b/landingdeal/lab/trial/callers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from landingdeal.lab.trial.loop import Connection, Loop
+from landingdeal.lab.trial.loop import EmulatedConnection, TrialEventLoop
 from landingdeal.lab.trial.rules import CROSS_S, Record, Request
 from landingdeal.sip.message import Message, encode, request, response
 
@@ -36,14 +36,16 @@
 class Line:
     """One connection of the callers and what is open on it."""
 
-    connection: Connection
+    connection: EmulatedConnection
     open: dict[str, Request] = field(default_factory=dict)
     busy: bool = False  # a set-up is being written in pieces
     heard: int = 0
 
 
 class Callers:
-    def __init__(self, loop: Loop, rng: random.Random, record: Record, port: int, numbers: list[int]) -> None:
+    def __init__(
+        self, loop: TrialEventLoop, rng: random.Random, record: Record, port: int, numbers: list[int]
+    ) -> None:
         self.loop, self.rng, self.record, self.port, self.numbers = loop, rng, record, port, numbers
         self.habits = USUAL
         self.deadlines_s: dict[str, float] = {}  # of each class
@@ -71,7 +73,7 @@
         sock = self._dial()
         if sock is None:
             return None
-        connection = Connection(self.loop, sock, lambda _c, m: self._message(line, m),
+        connection = EmulatedConnection(self.loop, sock, lambda _c, m: self._message(line, m),
                                 lambda _c: self._ended(line), lambda _c: self._unreadable(line))  # fmt: skip
         line = Line(connection)
         self.lines.append(line)
@@ -111,13 +113,13 @@
     # --- set-ups ---
 
     def start(self) -> None:
-        self.loop.after(self.rng.expovariate(self.per_s), self._arrive)
+        self.loop.call_after(self.rng.expovariate(self.per_s), self._arrive)
 
     def _arrive(self) -> None:
         if not self.calling:
             return
         self.call()
-        self.loop.after(self.rng.expovariate(self.per_s), self._arrive)
+        self.loop.call_after(self.rng.expovariate(self.per_s), self._arrive)
 
     def call(self) -> None:
         free = [line for line in self.lines if not line.busy and not line.connection.ended]
@@ -175,7 +177,7 @@
         ]
         for share, play in plays:
             if chance < share:
-                self.loop.after(self.rng.choice((0.0, 0.002, 0.02, 0.1)), play)
+                self.loop.call_after(self.rng.choice((0.0, 0.002, 0.02, 0.1)), play)
                 return
             chance -= share
 
@@ -250,14 +252,14 @@
         if sock is None:
             return
         heard: list[bool] = []
-        connection = Connection(self.loop, sock, lambda _c, _m: heard.append(True),
+        connection = EmulatedConnection(self.loop, sock, lambda _c, _m: heard.append(True),
                                 lambda _c: heard.append(True), lambda _c: heard.append(True))  # fmt: skip
 
         def judge() -> None:
             self.record.bad_callers_unheard += not heard
             connection.close()
 
-        self.loop.after(BAD_CALLER_S, judge)
+        self.loop.call_after(BAD_CALLER_S, judge)
         connection.send(self._nonsense())
 
     def _nonsense(self) -> bytes:
--- a/landingdeal/lab/trial/hub.py
+++ b/landingdeal/lab/trial/hub.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from landingdeal.lab.trial.loop import Connection, Loop
+from landingdeal.lab.trial.loop import EmulatedConnection, TrialEventLoop
 from landingdeal.lab.trial.rules import Attempt, Record
 from landingdeal.sip.message import Message, encode, request, response
 
@@ -58,16 +58,18 @@
 
 
 class Hub:
-    def __init__(self, loop: Loop, rng: random.Random, record: Record, name: str, number: int) -> None:
+    def __init__(
+        self, loop: TrialEventLoop, rng: random.Random, record: Record, name: str, number: int
+    ) -> None:
         self.loop, self.rng, self.record = loop, rng, record
         self.name, self.number, self.faults = name, number, CALM
-        self.connections: list[Connection] = []
-        self.attempts: dict[tuple[Connection, str], Attempt] = {}
+        self.connections: list[EmulatedConnection] = []
+        self.attempts: dict[tuple[EmulatedConnection, str], Attempt] = {}
         self.standing: dict[str, Attempt] = {}
         self.untold: deque[str] = deque(maxlen=UNTOLD_MOST)  # released since the last connection came up
         self.hung = False
         self.resumed_at = 0.0  # when it last came out of a hang
-        self.released: list[tuple[float, Connection, Attempt]] = []  # lately, and on which connection
+        self.released: list[tuple[float, EmulatedConnection, Attempt]] = []  # lately, and on which connection
         self.connect_delay_s = 0.0
         self.listener: socket.socket | None = loop.listen(self._accepted)
         self.port: int = self.listener.getsockname()[1]
@@ -80,7 +82,7 @@
 
     def _accepted(self, sock: socket.socket) -> None:
         late = self.connect_delay_s > 0
-        self.loop.after(self.connect_delay_s, lambda: self._open(sock, late))
+        self.loop.call_after(self.connect_delay_s, lambda: self._open(sock, late))
 
     def _open(self, sock: socket.socket, late: bool) -> None:
         if late:  # what has come on it by now is read only now, and so is its end
@@ -88,33 +90,33 @@
         if self.listener is None or len(self.connections) >= CONNECTIONS_MOST:
             sock.close()
             return
-        connection = Connection(self.loop, sock, self._message, self.ended)
+        connection = EmulatedConnection(self.loop, sock, self._message, self.ended)
         self.connections.append(connection)
         if self.hung:
             connection.hang(True)
             return
         self._greet(connection)
 
-    def _greet(self, connection: Connection) -> None:
+    def _greet(self, connection: EmulatedConnection) -> None:
         headers = ("call-id", "0" * 16), ("cseq", "1 NOTIFY"), REPORT
         connection.send(encode(request("NOTIFY", "sip:state@net", *headers)))
         while self.untold:
             call = self.untold.popleft()
             connection.send(self._bye(call, 16))
 
-    def ended(self, connection: Connection, how: str = "closed") -> None:
+    def ended(self, connection: EmulatedConnection, how: str = "closed") -> None:
         if connection in self.connections:
             self.connections.remove(connection)
         for (on, _), attempt in list(self.attempts.items()):
             if on is connection:
                 self._end(connection, attempt, how)
 
-    def _end(self, connection: Connection, attempt: Attempt, how: str) -> None:
+    def _end(self, connection: EmulatedConnection, attempt: Attempt, how: str) -> None:
         if not attempt.how:
             attempt.how, attempt.ended = how, time.time()
         self.attempts.pop((connection, attempt.call), None)
 
-    def reset(self, connection: Connection) -> None:
+    def reset(self, connection: EmulatedConnection) -> None:
         """What is still under way is lost with it."""
         for at, on, attempt in self.released:
             if on is connection and time.time() - at < UNDER_WAY_S:
@@ -138,7 +140,7 @@
     def die(self) -> None:
         """The process ends: connections are reset, its calls are over, connects are refused."""
         if self.listener is not None:
-            self.loop.unlisten(self.listener)
+            self.loop.close_listener(self.listener)
             self.listener = None
         for connection in list(self.connections):
             self.reset(connection)
@@ -153,7 +155,7 @@
 
     # --- messages ---
 
-    def _message(self, connection: Connection, message: Message) -> None:
+    def _message(self, connection: EmulatedConnection, message: Message) -> None:
         match message.method:
             case "OPTIONS":
                 connection.send(encode(response(message, 200, REPORT)))
@@ -169,7 +171,7 @@
                 if attempt is not None:
                     attempt.over, attempt.over_how = time.time(), "by the program"
 
-    def _invite(self, connection: Connection, message: Message) -> None:
+    def _invite(self, connection: EmulatedConnection, message: Message) -> None:
         attempt = Attempt(message.call_id, self.name, time.time())
         attempt.uncertain = time.time() < self.resumed_at + RESUMING_S
         self.record.attempts.append(attempt)
@@ -198,12 +200,14 @@
         self._later(PROMPT_S, answer)
 
     def _later(self, span: tuple[float, float], work: Callable[[], None]) -> None:
-        self.loop.after(self.rng.uniform(*span), work)
+        self.loop.call_after(self.rng.uniform(*span), work)
 
-    def _out(self, connection: Connection, attempt: Attempt) -> bool:
+    def _out(self, connection: EmulatedConnection, attempt: Attempt) -> bool:
         return self.attempts.get((connection, attempt.call)) is attempt and not connection.ended
 
-    def _answer(self, connection: Connection, message: Message, attempt: Attempt, body: bytes) -> None:
+    def _answer(
+        self, connection: EmulatedConnection, message: Message, attempt: Attempt, body: bytes
+    ) -> None:
         if not self._out(connection, attempt):
             return
         attempt.body = body
@@ -212,12 +216,12 @@
         connection.send(encode(response(message, 200, body=body)))
         self._later(HOLD_S, lambda: self._release(connection, attempt))
 
-    def _release(self, connection: Connection, attempt: Attempt) -> None:
+    def _release(self, connection: EmulatedConnection, attempt: Attempt) -> None:
         if self.standing.get(attempt.call) is not attempt or self.hung:
             return
         del self.standing[attempt.call]
         attempt.over, attempt.over_how = time.time(), "released"
-        on: Connection | None = connection
+        on: EmulatedConnection | None = connection
         if connection.ended:
             on = next(iter(self.connections), None)
         self.untold.append(attempt.call)  # its release also goes out on the next connection
@@ -233,7 +237,7 @@
         headers = ("call-id", call), ("cseq", "2 BYE"), ("reason", f"Q.850;cause={cause}")
         return encode(request("BYE", "sip:hub@net", *headers))
 
-    def _refuse(self, connection: Connection, message: Message, attempt: Attempt) -> None:
+    def _refuse(self, connection: EmulatedConnection, message: Message, attempt: Attempt) -> None:
         status = self.rng.choice((503, 503, 480, 486, 504))
 
         def refuse() -> None:
@@ -247,7 +251,9 @@
 
         self._later(PROMPT_S, refuse)
 
-    def _overtaken(self, connection: Connection, message: Message, attempt: Attempt, body: bytes) -> None:
+    def _overtaken(
+        self, connection: EmulatedConnection, message: Message, attempt: Attempt, body: bytes
+    ) -> None:
         """The call has come to its end before its answer is through."""
 
         def release() -> None:
@@ -264,7 +270,9 @@
 
         self._later(PROMPT_S, release)
 
-    def _doubled(self, connection: Connection, message: Message, attempt: Attempt, body: bytes) -> None:
+    def _doubled(
+        self, connection: EmulatedConnection, message: Message, attempt: Attempt, body: bytes
+    ) -> None:
         second = self.rng.choice((200, 503))
 
         def both() -> None:
@@ -274,11 +282,11 @@
 
         self._later(PROMPT_S, both)
 
-    def _spoilt(self, connection: Connection, message: Message, body: bytes) -> None:
+    def _spoilt(self, connection: EmulatedConnection, message: Message, body: bytes) -> None:
         spoilt = spoil(encode(response(message, 200, body=body)), self.rng)
         self._later(PROMPT_S, lambda: connection.send(spoilt))
 
-    def _stray(self, connection: Connection, message: Message, attempt: Attempt, body: bytes) -> None:
+    def _stray(self, connection: EmulatedConnection, message: Message, attempt: Attempt, body: bytes) -> None:
         nobody = f"{self.rng.getrandbits(64):016x}"
         if self.rng.random() < 0.5:
             connection.send(self._bye(nobody, 41))
--- a/landingdeal/lab/trial/loop.py
+++ b/landingdeal/lab/trial/loop.py
@@ -14,42 +14,42 @@
 from landingdeal.lab.ports import free_port
 from landingdeal.sip.message import Framer, FramingError, MalformedMessage, Message
 
-TICK_S = 0.02  # the longest wait of the selector
-READ_SIZE = 65536
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: the close sends a reset
+MAX_WAIT_S = 0.02  # the longest wait of the selector
+READ_BYTES = 65536
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: the close sends a reset
 
 
-class Loop:
+class TrialEventLoop:
     """Times are seconds of the system's Unix clock."""
 
     def __init__(self) -> None:
         self.selector = selectors.DefaultSelector()
         self._timers: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self.lag_s = 0.0  # the longest time between two looks
+        self.max_lag_s = 0.0  # the longest time between two looks
 
-    def at(self, when: float, work: Callable[[], None]) -> None:
-        heapq.heappush(self._timers, (when, next(self._order), work))
+    def call_at(self, when: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._timers, (when, next(self._order), callback))
 
-    def after(self, seconds: float, work: Callable[[], None]) -> None:
-        self.at(time.time() + seconds, work)
+    def call_after(self, seconds: float, callback: Callable[[], None]) -> None:
+        self.call_at(time.time() + seconds, callback)
 
     def run(self, done: Callable[[], bool], deadline: float) -> bool:
         """Plays until `done`, or the deadline; False if that came first."""
-        looked = time.time()
+        last_iteration = time.time()
         while not done():
             now = time.time()
-            self.lag_s, looked = max(self.lag_s, now - looked - TICK_S), now
+            self.max_lag_s, last_iteration = max(self.max_lag_s, now - last_iteration - MAX_WAIT_S), now
             if now >= deadline:
                 return False
-            due = min(self._timers[0][0] if self._timers else deadline, deadline, now + TICK_S)
+            due = min(self._timers[0][0] if self._timers else deadline, deadline, now + MAX_WAIT_S)
             for key, mask in self.selector.select(max(due - now, 0.0)):
                 key.data(mask)
             while self._timers and self._timers[0][0] <= time.time():
                 heapq.heappop(self._timers)[2]()
         return True
 
-    def listen(self, accepted: Callable[[socket.socket], None], port: int = 0) -> socket.socket:
+    def listen(self, on_accepted: Callable[[socket.socket], None], port: int = 0) -> socket.socket:
         """At that port, or at one that stays free while nobody listens there."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -62,12 +62,12 @@
                 sock, _ = listener.accept()
             except OSError:
                 return
-            accepted(sock)
+            on_accepted(sock)
 
         self.selector.register(listener, selectors.EVENT_READ, ready)
         return listener
 
-    def unlisten(self, listener: socket.socket) -> None:
+    def close_listener(self, listener: socket.socket) -> None:
         self.selector.unregister(listener)
         listener.close()
 
@@ -78,16 +78,16 @@
         self.selector.close()
 
 
-class Connection:
+class EmulatedConnection:
     """A nonblocking connection of one emulated party. `on_end` is called once, unless the party closes it."""
 
     def __init__(
         self,
-        loop: Loop,
+        loop: TrialEventLoop,
         sock: socket.socket,
-        on_message: Callable[[Connection, Message], None],
-        on_end: Callable[[Connection], None] = lambda _: None,
-        on_unreadable: Callable[[Connection], None] = lambda _: None,
+        on_message: Callable[[EmulatedConnection, Message], None],
+        on_end: Callable[[EmulatedConnection], None] = lambda _: None,
+        on_unreadable: Callable[[EmulatedConnection], None] = lambda _: None,
         raw: bool = False,
     ) -> None:
         sock.setblocking(False)
@@ -97,27 +97,27 @@
         self.framer = Framer()
         self.received = b""  # only where `raw`: not cut into messages
         self.ended = self.hung = False
-        self._out: deque[tuple[bytes, Callable[[], None]]] = deque()
+        self._unsent: deque[tuple[bytes, Callable[[], None]]] = deque()
         loop.selector.register(sock, selectors.EVENT_READ, self._ready)
 
-    def send(self, data: bytes, written: Callable[[], None] = lambda: None) -> None:
-        """`written` is called once the system has taken the last byte."""
+    def send(self, data: bytes, on_written: Callable[[], None] = lambda: None) -> None:
+        """`on_written` is called once the system has taken the last byte."""
         if not self.ended:
-            self._out.append((data, written))
+            self._unsent.append((data, on_written))
             self._flush()
 
-    def send_in_pieces(self, data: bytes, pieces: int, gap_s: float, written: Callable[[], None]) -> None:
-        """Nothing else may be sent on this connection until `written` is called."""
+    def send_in_pieces(self, data: bytes, pieces: int, gap_s: float, on_written: Callable[[], None]) -> None:
+        """Nothing else may be sent on this connection until `on_written` is called."""
         size = max(len(data) // pieces, 1)
         parts = [data[at : at + size] for at in range(0, len(data), size)]
 
-        def put(number: int) -> None:
+        def send_part(number: int) -> None:
             last = number == len(parts) - 1
-            self.send(parts[number], written if last else lambda: None)
+            self.send(parts[number], on_written if last else lambda: None)
             if not last:
-                self.loop.after(gap_s, lambda: put(number + 1))
+                self.loop.call_after(gap_s, lambda: send_part(number + 1))
 
-        put(0)
+        send_part(0)
 
     def hang(self, hung: bool) -> None:
         """Neither reads nor writes any more, and stays open."""
@@ -136,12 +136,12 @@
         if not self.hung:
             self.loop.selector.unregister(self.sock)
         if reset:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.sock.close()
 
     def _flush(self) -> None:
-        while self._out and not self.ended and not self.hung:
-            data, written = self._out[0]
+        while self._unsent and not self.ended and not self.hung:
+            data, on_written = self._unsent[0]
             try:
                 count = self.sock.send(data) if data else 0
             except BlockingIOError:
@@ -152,10 +152,10 @@
                 self._end()
                 return
             if count < len(data):
-                self._out[0] = data[count:], written
+                self._unsent[0] = data[count:], on_written
                 continue
-            self._out.popleft()
-            written()
+            self._unsent.popleft()
+            on_written()
 
     def _end(self) -> None:
         if not self.ended:
@@ -169,7 +169,7 @@
         if self.ended or self.hung or not mask & selectors.EVENT_READ:
             return
         try:
-            data = self.sock.recv(READ_SIZE)
+            data = self.sock.recv(READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
--- a/landingdeal/lab/trial/trial.py
+++ b/landingdeal/lab/trial/trial.py
@@ -18,7 +18,7 @@
 from landingdeal.lab.trial.bus import Bus, EventLog
 from landingdeal.lab.trial.callers import HASTY, USUAL, Callers
 from landingdeal.lab.trial.hub import CALM, ROUGH, Hub
-from landingdeal.lab.trial.loop import Loop
+from landingdeal.lab.trial.loop import TrialEventLoop
 from landingdeal.lab.trial.rules import KILL_S, Change, Record, check, earliest_kill
 
 ROOT = Path(__file__).resolve().parents[3]
@@ -97,7 +97,7 @@
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
         self.rng = random.Random(plan.seed * 7919 + 1)
-        self.loop = Loop()
+        self.loop = TrialEventLoop()
         self.record = Record()
         self.result = Result(plan)
         self.hubs = [Hub(self.loop, self.rng, self.record, f"s-{n}", n) for n in range(1, plan.hubs + 1)]
@@ -159,7 +159,7 @@
         except OSError:
             return
         self.result.descriptors = max(self.result.descriptors, count)
-        self.loop.after(SAMPLE_S, self._sample)
+        self.loop.call_after(SAMPLE_S, self._sample)
 
     def _wait_until_ready(self, callers: Callers) -> bool:
         deadline = time.time() + READY_S
@@ -187,10 +187,10 @@
         match self.rng.randrange(6):
             case 0:
                 hub.hang(True)
-                self.loop.after(self.rng.uniform(0.2, 2.0), lambda: hub.hang(False))
+                self.loop.call_after(self.rng.uniform(0.2, 2.0), lambda: hub.hang(False))
             case 1:
                 hub.die()
-                self.loop.after(self.rng.uniform(0.05, 1.0), hub.start)
+                self.loop.call_after(self.rng.uniform(0.05, 1.0), hub.start)
             case 2 if hub.connections:
                 hub.reset(self.rng.choice(hub.connections))
             case 3 if hub.connections:
@@ -199,10 +199,10 @@
                 hub.ended(on)
             case 4:
                 hub.connect_delay_s = self.rng.uniform(0.0, 1.0)
-                self.loop.after(1.0, lambda: setattr(hub, "connect_delay_s", 0.0))
+                self.loop.call_after(1.0, lambda: setattr(hub, "connect_delay_s", 0.0))
             case _:
                 self._drain(hub)
-        self.loop.after(self.rng.uniform(0.1, 0.7), self._hub_fault)
+        self.loop.call_after(self.rng.uniform(0.1, 0.7), self._hub_fault)
 
     def _tell(self, hub: Hub, state: str, since_ms: int = 0) -> None:
         change = Change(hub.name, state, time.time())
@@ -217,13 +217,13 @@
         def restart() -> None:
             hub.die()
             self._tell(hub, "removed")
-            self.loop.after(self.rng.uniform(0.1, 0.6), back)
+            self.loop.call_after(self.rng.uniform(0.1, 0.6), back)
 
         def back() -> None:
             hub.start()
             self._tell(hub, "up")
 
-        self.loop.after(self.rng.uniform(0.5, 2.5), restart)
+        self.loop.call_after(self.rng.uniform(0.5, 2.5), restart)
 
     def _bus_fault(self) -> None:
         if time.time() > self.faults_until:
@@ -239,15 +239,15 @@
         else:
             bus.refusing = True
             bus.break_off()
-        self.loop.after(self.rng.uniform(0.2, 2.0), bus.back)
-        self.loop.after(self.rng.uniform(2.2, 3.0), self._bus_fault)
+        self.loop.call_after(self.rng.uniform(0.2, 2.0), bus.back)
+        self.loop.call_after(self.rng.uniform(2.2, 3.0), self._bus_fault)
 
     def _reload(self) -> None:
         if time.time() > self.faults_until:
             return
         for number in range(self.rng.randint(1, 4)):
-            self.loop.after(number * 0.03, self._move)
-        self.loop.after(self.rng.uniform(0.8, 2.0), self._reload)
+            self.loop.call_after(number * 0.03, self._move)
+        self.loop.call_after(self.rng.uniform(0.8, 2.0), self._reload)
 
     def _move(self) -> None:
         self.bus = self.rng.choice(self.buses)
@@ -274,14 +274,14 @@
         if plan.hub_faults:
             self._hub_fault()
         if plan.bus_faults:
-            self.loop.after(self.rng.uniform(0.2, 1.5), self._bus_fault)
+            self.loop.call_after(self.rng.uniform(0.2, 1.5), self._bus_fault)
         if plan.reloads:
-            self.loop.after(self.rng.uniform(0.1, 1.0), self._reload)
+            self.loop.call_after(self.rng.uniform(0.1, 1.0), self._reload)
         if plan.crowd:
-            self.loop.after(self.rng.uniform(0.2, plan.lasts_s), lambda: self._crowd(callers))
+            self.loop.call_after(self.rng.uniform(0.2, plan.lasts_s), lambda: self._crowd(callers))
         if plan.bad_callers:
             for _ in range(20):
-                self.loop.after(self.rng.uniform(0.0, plan.lasts_s), callers.bad)
+                self.loop.call_after(self.rng.uniform(0.0, plan.lasts_s), callers.bad)
         self.loop.run(self._gone, now + plan.lasts_s + (SETTLE_S if last else 0.0))
         self._stop(callers)
 
@@ -295,7 +295,7 @@
                 callers.set_up(line)
 
         for _ in range(crowd):
-            self.loop.after(self.rng.uniform(0.0, CROWD_S), come)
+            self.loop.call_after(self.rng.uniform(0.0, CROWD_S), come)
 
     def _gone(self) -> bool:
         return self.process is None or self.process.poll() is not None
@@ -313,8 +313,8 @@
         self._signal(signal.SIGTERM)
         for _ in range(self.rng.randint(0, 3)):
             number = self.rng.choice((signal.SIGTERM, signal.SIGHUP, signal.SIGINT))
-            self.loop.after(self.rng.uniform(0.0, 0.5), lambda n=number: self._signal(n))  # type: ignore[misc]
-        self.loop.after(self.rng.uniform(0.2, 0.4), lambda: setattr(callers, "connecting", False))
+            self.loop.call_after(self.rng.uniform(0.0, 0.5), lambda n=number: self._signal(n))  # type: ignore[misc]
+        self.loop.call_after(self.rng.uniform(0.2, 0.4), lambda: setattr(callers, "connecting", False))
         self.loop.run(self._gone, kill)
         callers.calling = False
         if self._gone():
@@ -345,8 +345,8 @@
     def play(self) -> Result:
         for number in range(self.plan.starts):
             self._live(last=number == self.plan.starts - 1)
-            self.record.lag_s = self.loop.lag_s
-            self.result.lag_ms = self.loop.lag_s * 1000
+            self.record.lag_s = self.loop.max_lag_s
+            self.result.lag_ms = self.loop.max_lag_s * 1000
             self.result.broken += check(self.record)
             done, self.record.requests = self.record.requests, {}
             self.record.attempts.clear()
