--- a/landingdeal/lab/trial/bus.py
+++ b/landingdeal/lab/trial/bus.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from landingdeal.lab.trial.loop import EmulatedConnection, TrialEventLoop
-from landingdeal.lab.trial.rules import Change, Record
+from landingdeal.lab.trial.rules import HubStatusChange, Observations
 
 COMMENT_S = 1.0
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
@@ -19,21 +19,23 @@
     """The events that discovery has; every address of discovery serves the same ones."""
 
     def __init__(self, known: list[dict[str, Any]]) -> None:
-        self.events: list[tuple[dict[str, Any], list[Change]]] = [(event, []) for event in known]
+        self.events: list[tuple[dict[str, Any], list[HubStatusChange]]] = [(event, []) for event in known]
 
     @property
     def known(self) -> dict[str, Any]:
         return {"offset": len(self.events), "batch": [event for event, _ in self.events]}
 
-    def add(self, rows: list[dict[str, Any]], changes: list[Change], snapshot: bool = False) -> None:
+    def add(self, rows: list[dict[str, Any]], changes: list[HubStatusChange], snapshot: bool = False) -> None:
         offset = len(self.events) + 1
         topology = {"index": offset, "snapshot": snapshot, "endpoints": rows}
         self.events.append(({"offset": offset, "topology": topology}, changes))
 
 
 class Bus:
-    def __init__(self, loop: TrialEventLoop, rng: random.Random, record: Record, log: EventLog) -> None:
-        self.loop, self.rng, self.record, self.log = loop, rng, record, log
+    def __init__(
+        self, loop: TrialEventLoop, rng: random.Random, observations: Observations, log: EventLog
+    ) -> None:
+        self.loop, self.rng, self.observations, self.log = loop, rng, observations, log
         self.readers: dict[EmulatedConnection, int] = {}  # and the last event written to each
         self.silent = self.refusing = False
         self.listener: socket.socket | None = loop.listen(self._accepted)
@@ -88,7 +90,7 @@
                 data = f"id: {number + 1}\ndata: {json.dumps(event)}\n\n".encode()
                 connection.send(data * (2 if self.rng.random() < 0.2 else 1))
                 for change in changes:
-                    change.told = change.told or time.time()
+                    change.notified_at = change.notified_at or time.time()
             self.readers[connection] = len(self.log.events)
 
     def break_off(self) -> None:
@@ -116,4 +118,4 @@
         self.silent = self.refusing = False
         if self.listener is None:
             self.listener = self.loop.listen(self._accepted, self.port)
-        self.record.reachable_since.append(time.time())
+        self.observations.discovery_reachable_at.append(time.time())
--- a/landingdeal/lab/trial/callers.py
+++ b/landingdeal/lab/trial/callers.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from landingdeal.lab.trial.loop import EmulatedConnection, TrialEventLoop
-from landingdeal.lab.trial.rules import CROSS_S, Record, Request
+from landingdeal.lab.trial.rules import CLOSE_RACE_S, Observations, SetUpRequest
 from landingdeal.sip.message import Message, encode, request, response
 
 CONNECT_S = 0.5
@@ -37,16 +37,27 @@
     """One connection of the callers and what is open on it."""
 
     connection: EmulatedConnection
-    open: dict[str, Request] = field(default_factory=dict)
+    open: dict[str, SetUpRequest] = field(default_factory=dict)
     busy: bool = False  # a set-up is being written in pieces
     heard: int = 0
 
 
 class Callers:
     def __init__(
-        self, loop: TrialEventLoop, rng: random.Random, record: Record, port: int, numbers: list[int]
+        self,
+        loop: TrialEventLoop,
+        rng: random.Random,
+        observations: Observations,
+        port: int,
+        numbers: list[int],
     ) -> None:
-        self.loop, self.rng, self.record, self.port, self.numbers = loop, rng, record, port, numbers
+        self.loop, self.rng, self.observations, self.port, self.numbers = (
+            loop,
+            rng,
+            observations,
+            port,
+            numbers,
+        )
         self.habits = USUAL
         self.deadlines_s: dict[str, float] = {}  # of each class
         self.lines: list[Line] = []
@@ -80,7 +91,7 @@
         return line
 
     def _unreadable(self, line: Line) -> None:
-        self.record.problem("a caller got what cannot be read")
+        self.observations.add_problem("a caller got what cannot be read")
         self._ended(line)
 
     def _ended(self, line: Line) -> None:
@@ -89,23 +100,23 @@
             self.lines.remove(line)
         now = time.time()
         for one in line.open.values():
-            if one.finals or one.given_up:
+            if one.final_responses or one.cancelled_at:
                 continue
-            if not one.written or now - one.written <= CROSS_S:
+            if not one.written_at or now - one.written_at <= CLOSE_RACE_S:
                 self._send_again(one)
 
-    def _send_again(self, one: Request) -> None:
+    def _send_again(self, one: SetUpRequest) -> None:
         """Once, on a new connection; where none comes up nothing has been taken."""
-        line = None if one.sent_again else self.connect()
+        line = None if one.resent else self.connect()
         if line is None:
-            one.excused = one.excused or ("" if one.sent_again else "crossed a close, and nobody listens")
+            one.exemption = one.exemption or ("" if one.resent else "crossed a close, and nobody listens")
             return
-        one.sent_again = True
+        one.resent = True
         self._put(line, one, pieces=1)
 
     def leave(self, line: Line, reset: bool = False) -> None:
         for one in line.open.values():
-            one.excused = one.excused or "its caller left"
+            one.exemption = one.exemption or "its caller left"
         line.connection.close(reset)
         if line in self.lines:
             self.lines.remove(line)
@@ -139,27 +150,27 @@
     def set_up(self, line: Line) -> None:
         class_name, longest = self.rng.choice(list(self.deadlines_s.items()))
         patience = longest if self.rng.random() < 0.7 else self.rng.uniform(0.05, longest)
-        one = Request(f"{self.rng.getrandbits(64):016x}")
-        self.record.requests[one.call] = one
+        one = SetUpRequest(f"{self.rng.getrandbits(64):016x}")
+        self.observations.requests[one.call_id] = one
         self.sent += 1
         text = encode(request(
-            "INVITE", f"sip:{one.call}@net", ("via", "SIP/2.0/TCP peer"), ("call-id", one.call),
+            "INVITE", f"sip:{one.call_id}@net", ("via", "SIP/2.0/TCP peer"), ("call-id", one.call_id),
             ("cseq", "1 INVITE"), ("subject", class_name), ("x-patience", str(int(patience * 1000))),
             ("x-facts", f"dest:{self.rng.choice(self.numbers)};width:1;via:-1"), body=BODY,
         ))  # fmt: skip
-        self.texts[one.call] = text, patience
+        self.texts[one.call_id] = text, patience
         pieces = self.rng.randint(2, 6) if self.rng.random() < self.habits.pieces else 1
         self._put(line, one, pieces)
         self._habit(line, one)
 
-    def _put(self, line: Line, one: Request, pieces: int) -> None:
-        text, patience = self.texts[one.call]
-        line.open[one.call] = one
+    def _put(self, line: Line, one: SetUpRequest, pieces: int) -> None:
+        text, patience = self.texts[one.call_id]
+        line.open[one.call_id] = one
 
         def written() -> None:
             line.busy = False
-            one.written = time.time()
-            one.deadline = one.written + patience
+            one.written_at = time.time()
+            one.deadline = one.written_at + patience
 
         if pieces == 1:
             line.connection.send(text, written)
@@ -167,7 +178,7 @@
         line.busy = True
         line.connection.send_in_pieces(text, pieces, self.rng.uniform(0.0, 0.03), written)
 
-    def _habit(self, line: Line, one: Request) -> None:
+    def _habit(self, line: Line, one: SetUpRequest) -> None:
         habits, chance = self.habits, self.rng.random()
         plays: list[tuple[float, Callable[[], None]]] = [
             (habits.gives_up, lambda: self._give_up(line, one)),
@@ -181,34 +192,39 @@
                 return
             chance -= share
 
-    def _give_up(self, line: Line, one: Request) -> None:
-        if line.connection.ended or line.busy or not one.written or one.finals:
+    def _give_up(self, line: Line, one: SetUpRequest) -> None:
+        if line.connection.ended or line.busy or not one.written_at or one.final_responses:
             return
 
         def written() -> None:
-            one.given_up = time.time()
+            one.cancelled_at = time.time()
 
-        headers = ("via", "SIP/2.0/TCP peer"), ("call-id", one.call), ("cseq", "1 CANCEL")
-        line.connection.send(encode(request("CANCEL", f"sip:{one.call}@net", *headers)), written)
+        headers = ("via", "SIP/2.0/TCP peer"), ("call-id", one.call_id), ("cseq", "1 CANCEL")
+        line.connection.send(encode(request("CANCEL", f"sip:{one.call_id}@net", *headers)), written)
 
-    def _repeat(self, line: Line, one: Request) -> None:
-        if not line.connection.ended and not line.busy and one.written:
-            line.connection.send(self.texts[one.call][0])
+    def _repeat(self, line: Line, one: SetUpRequest) -> None:
+        if not line.connection.ended and not line.busy and one.written_at:
+            line.connection.send(self.texts[one.call_id][0])
 
-    def _cut(self, line: Line, one: Request) -> None:
+    def _cut(self, line: Line, one: SetUpRequest) -> None:
         """The network cuts the connection: its caller cannot tell that from a close that was crossed."""
-        if line.connection.ended or one.finals or not one.written or time.time() - one.written > CROSS_S:
+        if (
+            line.connection.ended
+            or one.final_responses
+            or not one.written_at
+            or time.time() - one.written_at > CLOSE_RACE_S
+        ):
             return
         others = [other for other in line.open.values() if other is not one]
         for other in others:
-            other.excused = other.excused or "its connection was cut"
+            other.exemption = other.exemption or "its connection was cut"
         line.connection.close(reset=self.rng.random() < 0.5)
         if line in self.lines:
             self.lines.remove(line)
         self._send_again(one)
 
-    def _leave_with(self, line: Line, one: Request) -> None:
-        if not line.connection.ended and one.written and not one.finals:
+    def _leave_with(self, line: Line, one: SetUpRequest) -> None:
+        if not line.connection.ended and one.written_at and not one.final_responses:
             self.leave(line, reset=self.rng.random() < 0.5)
 
     # --- what comes back ---
@@ -223,22 +239,22 @@
             self.well = message.status == 200
         if method != "INVITE" or message.status < 200:
             return
-        one = self.record.requests.get(message.call_id)
+        one = self.observations.requests.get(message.call_id)
         if one is None:
-            self.record.problem(f"an answer to {message.call_id}, which nobody sent")
+            self.observations.add_problem(f"an answer to {message.call_id}, which nobody sent")
             return
-        line.open.pop(one.call, None)
-        one.finals.append((time.time(), message.status, message.body))
-        headers = ("via", "SIP/2.0/TCP peer"), ("call-id", one.call), ("cseq", "1 ACK")
+        line.open.pop(one.call_id, None)
+        one.final_responses.append((time.time(), message.status, message.body))
+        headers = ("via", "SIP/2.0/TCP peer"), ("call-id", one.call_id), ("cseq", "1 ACK")
         if not line.busy:
-            line.connection.send(encode(request("ACK", f"sip:{one.call}@net", *headers)))
+            line.connection.send(encode(request("ACK", f"sip:{one.call_id}@net", *headers)))
 
     def _released(self, line: Line, message: Message) -> None:
         if not line.busy:
             line.connection.send(encode(response(message, 200)))
-        one = self.record.requests.get(message.call_id)
+        one = self.observations.requests.get(message.call_id)
         if message.method == "BYE" and one is not None:
-            one.releases.append(time.time())
+            one.release_times.append(time.time())
 
     # --- tests and bad callers ---
 
@@ -256,7 +272,7 @@
                                 lambda _c: heard.append(True), lambda _c: heard.append(True))  # fmt: skip
 
         def judge() -> None:
-            self.record.bad_callers_unheard += not heard
+            self.observations.unanswered_bad_callers += not heard
             connection.close()
 
         self.loop.call_after(BAD_CALLER_S, judge)
--- a/landingdeal/lab/trial/hub.py
+++ b/landingdeal/lab/trial/hub.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from landingdeal.lab.trial.loop import EmulatedConnection, TrialEventLoop
-from landingdeal.lab.trial.rules import Attempt, Record
+from landingdeal.lab.trial.rules import Observations, ObservedAttempt
 from landingdeal.sip.message import Message, encode, request, response
 
 REPORT = ("x-state", "x0:400;x1:400;free:400;size:400;depth:0;can_take:400")
@@ -59,17 +59,19 @@
 
 class Hub:
     def __init__(
-        self, loop: TrialEventLoop, rng: random.Random, record: Record, name: str, number: int
+        self, loop: TrialEventLoop, rng: random.Random, observations: Observations, name: str, number: int
     ) -> None:
-        self.loop, self.rng, self.record = loop, rng, record
+        self.loop, self.rng, self.observations = loop, rng, observations
         self.name, self.number, self.faults = name, number, CALM
         self.connections: list[EmulatedConnection] = []
-        self.attempts: dict[tuple[EmulatedConnection, str], Attempt] = {}
-        self.standing: dict[str, Attempt] = {}
+        self.attempts: dict[tuple[EmulatedConnection, str], ObservedAttempt] = {}
+        self.standing: dict[str, ObservedAttempt] = {}
         self.untold: deque[str] = deque(maxlen=UNTOLD_MOST)  # released since the last connection came up
         self.hung = False
         self.resumed_at = 0.0  # when it last came out of a hang
-        self.released: list[tuple[float, EmulatedConnection, Attempt]] = []  # lately, and on which connection
+        self.released: list[
+            tuple[float, EmulatedConnection, ObservedAttempt]
+        ] = []  # lately, and on which connection
         self.connect_delay_s = 0.0
         self.listener: socket.socket | None = loop.listen(self._accepted)
         self.port: int = self.listener.getsockname()[1]
@@ -111,16 +113,16 @@
             if on is connection:
                 self._end(connection, attempt, how)
 
-    def _end(self, connection: EmulatedConnection, attempt: Attempt, how: str) -> None:
-        if not attempt.how:
-            attempt.how, attempt.ended = how, time.time()
-        self.attempts.pop((connection, attempt.call), None)
+    def _end(self, connection: EmulatedConnection, attempt: ObservedAttempt, how: str) -> None:
+        if not attempt.outcome:
+            attempt.outcome, attempt.ended_at = how, time.time()
+        self.attempts.pop((connection, attempt.call_id), None)
 
     def reset(self, connection: EmulatedConnection) -> None:
         """What is still under way is lost with it."""
         for at, on, attempt in self.released:
             if on is connection and time.time() - at < UNDER_WAY_S:
-                attempt.over_how = "died"
+                attempt.call_end_cause = "hub failed"
         connection.close(reset=True)
         self.ended(connection, "reset")
 
@@ -134,7 +136,7 @@
             connection.hang(hung)
         if hung:
             for attempt in self.attempts.values():
-                attempt.how, attempt.ended = "unknown", time.time()
+                attempt.outcome, attempt.ended_at = "unknown", time.time()
             self.attempts.clear()
 
     def die(self) -> None:
@@ -145,7 +147,7 @@
         for connection in list(self.connections):
             self.reset(connection)
         for attempt in self.standing.values():
-            attempt.over, attempt.over_how = time.time(), "died"
+            attempt.call_ended_at, attempt.call_end_cause = time.time(), "hub failed"
         self.standing.clear()
         self.hung = False
 
@@ -169,12 +171,12 @@
                 connection.send(encode(response(message, 200)))
                 attempt = self.standing.pop(message.call_id, None)
                 if attempt is not None:
-                    attempt.over, attempt.over_how = time.time(), "by the program"
+                    attempt.call_ended_at, attempt.call_end_cause = time.time(), "by the program"
 
     def _invite(self, connection: EmulatedConnection, message: Message) -> None:
-        attempt = Attempt(message.call_id, self.name, time.time())
-        attempt.uncertain = time.time() < self.resumed_at + RESUMING_S
-        self.record.attempts.append(attempt)
+        attempt = ObservedAttempt(message.call_id, self.name, time.time())
+        attempt.arrival_uncertain = time.time() < self.resumed_at + RESUMING_S
+        self.observations.attempts.append(attempt)
         self.attempts[connection, message.call_id] = attempt
         body = f"{self.rng.getrandbits(64):016x}\r\nc=IN IP4 10.0.0.{self.number}\r\n".encode()
         faults, chance = self.faults, self.rng.random()
@@ -202,42 +204,42 @@
     def _later(self, span: tuple[float, float], work: Callable[[], None]) -> None:
         self.loop.call_after(self.rng.uniform(*span), work)
 
-    def _out(self, connection: EmulatedConnection, attempt: Attempt) -> bool:
-        return self.attempts.get((connection, attempt.call)) is attempt and not connection.ended
+    def _out(self, connection: EmulatedConnection, attempt: ObservedAttempt) -> bool:
+        return self.attempts.get((connection, attempt.call_id)) is attempt and not connection.ended
 
     def _answer(
-        self, connection: EmulatedConnection, message: Message, attempt: Attempt, body: bytes
+        self, connection: EmulatedConnection, message: Message, attempt: ObservedAttempt, body: bytes
     ) -> None:
         if not self._out(connection, attempt):
             return
         attempt.body = body
         self._end(connection, attempt, "answered")
-        self.standing[attempt.call] = attempt
+        self.standing[attempt.call_id] = attempt
         connection.send(encode(response(message, 200, body=body)))
         self._later(HOLD_S, lambda: self._release(connection, attempt))
 
-    def _release(self, connection: EmulatedConnection, attempt: Attempt) -> None:
-        if self.standing.get(attempt.call) is not attempt or self.hung:
+    def _release(self, connection: EmulatedConnection, attempt: ObservedAttempt) -> None:
+        if self.standing.get(attempt.call_id) is not attempt or self.hung:
             return
-        del self.standing[attempt.call]
-        attempt.over, attempt.over_how = time.time(), "released"
+        del self.standing[attempt.call_id]
+        attempt.call_ended_at, attempt.call_end_cause = time.time(), "released"
         on: EmulatedConnection | None = connection
         if connection.ended:
             on = next(iter(self.connections), None)
-        self.untold.append(attempt.call)  # its release also goes out on the next connection
+        self.untold.append(attempt.call_id)  # its release also goes out on the next connection
         if on is None:
-            attempt.over_how = "died"
+            attempt.call_end_cause = "hub failed"
             return
-        on.send(self._bye(attempt.call, 16))
-        self.released = [(at, c, a) for at, c, a in self.released if at > attempt.over - UNDER_WAY_S]
-        self.released.append((attempt.over, on, attempt))
+        on.send(self._bye(attempt.call_id, 16))
+        self.released = [(at, c, a) for at, c, a in self.released if at > attempt.call_ended_at - UNDER_WAY_S]
+        self.released.append((attempt.call_ended_at, on, attempt))
 
     @staticmethod
     def _bye(call: str, cause: int) -> bytes:
         headers = ("call-id", call), ("cseq", "2 BYE"), ("reason", f"Q.850;cause={cause}")
         return encode(request("BYE", "sip:hub@net", *headers))
 
-    def _refuse(self, connection: EmulatedConnection, message: Message, attempt: Attempt) -> None:
+    def _refuse(self, connection: EmulatedConnection, message: Message, attempt: ObservedAttempt) -> None:
         status = self.rng.choice((503, 503, 480, 486, 504))
 
         def refuse() -> None:
@@ -252,26 +254,26 @@
         self._later(PROMPT_S, refuse)
 
     def _overtaken(
-        self, connection: EmulatedConnection, message: Message, attempt: Attempt, body: bytes
+        self, connection: EmulatedConnection, message: Message, attempt: ObservedAttempt, body: bytes
     ) -> None:
         """The call has come to its end before its answer is through."""
 
         def release() -> None:
             if self._out(connection, attempt):
-                connection.send(self._bye(attempt.call, 16))
+                connection.send(self._bye(attempt.call_id, 16))
                 self._later(SLOW_S, answer)
 
         def answer() -> None:
             if self._out(connection, attempt):
                 attempt.body = body
                 self._end(connection, attempt, "answered")
-                attempt.over, attempt.over_how = time.time(), "released"
+                attempt.call_ended_at, attempt.call_end_cause = time.time(), "released"
                 connection.send(encode(response(message, 200, body=body)))
 
         self._later(PROMPT_S, release)
 
     def _doubled(
-        self, connection: EmulatedConnection, message: Message, attempt: Attempt, body: bytes
+        self, connection: EmulatedConnection, message: Message, attempt: ObservedAttempt, body: bytes
     ) -> None:
         second = self.rng.choice((200, 503))
 
@@ -286,7 +288,9 @@
         spoilt = spoil(encode(response(message, 200, body=body)), self.rng)
         self._later(PROMPT_S, lambda: connection.send(spoilt))
 
-    def _stray(self, connection: EmulatedConnection, message: Message, attempt: Attempt, body: bytes) -> None:
+    def _stray(
+        self, connection: EmulatedConnection, message: Message, attempt: ObservedAttempt, body: bytes
+    ) -> None:
         nobody = f"{self.rng.getrandbits(64):016x}"
         if self.rng.random() < 0.5:
             connection.send(self._bye(nobody, 41))
--- a/landingdeal/lab/trial/rules.py
+++ b/landingdeal/lab/trial/rules.py
@@ -7,178 +7,218 @@
 
 from dataclasses import dataclass, field
 
-LATE_S = 0.5  # an answer so much after its time only earns nothing; a later one is lost
-SLACK_S = 0.05  # by which each time limit is longer on sockets
-CROSS_S = 0.05  # a set-up whose last byte was written so shortly before a close is sent again, once
-RELEASE_S = 1.0  # for a caller to hear of the end of its call
-SILENT_RELEASE_S = 8.0  # where its lab hub could not tell
-DRAIN_S = 1.0
-TOLD_S = 7.0  # an event counts as told so long after discovery had it, whether it arrived or not
-TOLD_AFTER_FAILURE_S = 6.0  # and so long after discovery could be reached again
-KILL_S = 0.7  # SIGKILL comes the longest deadline, and so much more, after SIGTERM
-LONGEST_S = 3.0  # a longer deadline counts as this
+MAX_LATENESS_S = 0.5  # an answer so much after its time only earns nothing; a later one is lost
+TIMING_SLACK_S = 0.05  # by which each time limit is longer on sockets
+CLOSE_RACE_S = 0.05  # a set-up whose last byte was written so shortly before a close is sent again, once
+RELEASE_LIMIT_S = 1.0  # for a caller to hear of the end of its call
+FAILED_HUB_RELEASE_LIMIT_S = 8.0  # where its lab hub could not tell
+DRAIN_LIMIT_S = 1.0
+NOTIFICATION_LIMIT_S = (
+    7.0  # an event counts as told so long after discovery had it, whether it arrived or not
+)
+NOTIFICATION_LIMIT_AFTER_OUTAGE_S = 6.0  # and so long after discovery could be reached again
+KILL_MARGIN_S = 0.7  # SIGKILL comes the longest deadline, and so much more, after SIGTERM
+MAX_DEADLINE_S = 3.0  # a longer deadline counts as this
 
 
 @dataclass
-class Request:
+class SetUpRequest:
     """One set-up of a caller, under one Call-ID."""
 
-    call: str
+    call_id: str
     deadline: float = 0.0
-    written: float = 0.0  # its last byte; 0 where it never went out whole
-    given_up: float = 0.0
-    excused: str = ""  # why no answer is owed any more
-    finals: list[tuple[float, int, bytes]] = field(default_factory=list)
-    releases: list[float] = field(default_factory=list)
-    sent_again: bool = False
+    written_at: float = 0.0  # its last byte; 0 where it never went out whole
+    cancelled_at: float = 0.0
+    exemption: str = ""  # why no answer is owed any more
+    final_responses: list[tuple[float, int, bytes]] = field(default_factory=list)
+    release_times: list[float] = field(default_factory=list)
+    resent: bool = False
 
     @property
-    def stands(self) -> bool:
-        return any(status < 300 for _, status, _ in self.finals)
+    def established(self) -> bool:
+        return any(status < 300 for _, status, _ in self.final_responses)
 
 
 @dataclass
-class Attempt:
+class ObservedAttempt:
     """One set-up as it arrived whole at a lab hub, until its end was written there or it was given up."""
 
-    call: str
+    call_id: str
     hub: str
-    began: float
-    ended: float = 0.0
-    how: str = ""  # answered, refused, cancelled, closed, reset, unknown
+    started_at: float
+    ended_at: float = 0.0
+    outcome: str = ""  # answered, refused, cancelled, closed, reset, unknown
     body: bytes = b""
-    over: float = 0.0  # when the call that stood came to its end
-    over_how: str = ""  # released, died
-    uncertain: bool = False  # it came while its hub was hung: when is not known
+    call_ended_at: float = 0.0  # when the call that stood ended
+    call_end_cause: str = ""  # released, died
+    arrival_uncertain: bool = False  # it came while its hub was hung: when is not known
 
 
 @dataclass
-class Change:
+class HubStatusChange:
     """One event of discovery about one lab hub."""
 
     hub: str
     state: str
-    had: float  # when discovery had it
-    told: float = 0.0  # when it was written to the program; 0: never
+    recorded_at: float  # when discovery had it
+    notified_at: float = 0.0  # when it was written to the program; 0: never
 
 
 @dataclass
-class Record:
+class Observations:
     """All that the parties of one trial saw."""
 
-    requests: dict[str, Request] = field(default_factory=dict)
-    attempts: list[Attempt] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
-    reachable_since: list[float] = field(default_factory=list)  # discovery answers again from these times on
-    bad_callers_unheard: int = 0  # bad callers left with no refusal, no error and no close for 3 s
+    requests: dict[str, SetUpRequest] = field(default_factory=dict)
+    attempts: list[ObservedAttempt] = field(default_factory=list)
+    changes: list[HubStatusChange] = field(default_factory=list)
+    discovery_reachable_at: list[float] = field(
+        default_factory=list
+    )  # discovery answers again from these times on
+    unanswered_bad_callers: int = 0  # bad callers left with no refusal, no error and no close for 3 s
     problems: list[str] = field(default_factory=list)  # what a party saw itself
-    started: float = 0.0
-    stop_asked: float = 0.0  # SIGTERM
-    program_ended: float = 0.0
-    release_gap_s: float = 0.3
-    lag_s: float = 0.0  # the longest time for which the stage itself looked at nothing
+    process_started_at: float = 0.0
+    stop_requested_at: float = 0.0  # SIGTERM
+    program_ended_at: float = 0.0
+    min_resend_gap_s: float = 0.3
+    max_lag_s: float = 0.0  # the longest time for which the stage itself looked at nothing
 
-    def problem(self, text: str) -> None:
+    def add_problem(self, text: str) -> None:
         self.problems.append(text)
 
 
-def check(record: Record) -> list[str]:
+def check_rules(observations: Observations) -> list[str]:
     """Every broken rule, one line each."""
-    found = list(record.problems)
-    by_call: dict[str, list[Attempt]] = {}
-    for attempt in record.attempts:
-        by_call.setdefault(attempt.call, []).append(attempt)
-    for request in record.requests.values():
-        found += _answers(request, by_call.get(request.call, []), record)
-        found += _releases(request, by_call.get(request.call, []), record)
-    for call, attempts in by_call.items():
-        found += _one_out(call, attempts, record.release_gap_s)
-    found += _drains(record)
-    if record.bad_callers_unheard:
-        found.append(f"{record.bad_callers_unheard} bad callers left with no word and no close")
-    return found
-
-
-def _answers(request: Request, attempts: list[Attempt], record: Record) -> list[str]:
-    found = []
-    label = f"request {request.call}"
-    if len(request.finals) > 1:
-        found.append(f"{label}: a second answer ({[status for _, status, _ in request.finals]})")
-    if request.releases and request.finals and request.releases[0] < request.finals[0][0]:
-        found.append(f"{label}: released before its answer ({request.finals[0][1]})")
-    lag = record.lag_s
-    if request.given_up and request.finals and request.finals[0][0] > request.given_up + CROSS_S + lag:
-        late = (request.finals[0][0] - request.given_up) * 1000
-        found.append(f"{label}: answered {late:.0f} ms after it was given up")
-    if request.written and not request.finals and not request.given_up and not request.excused:
-        found.append(f"{label}: lost, sent {request.written - (record.stop_asked or request.written):.2f} s "
-                     "after SIGTERM, no answer")  # fmt: skip
-    if request.finals and request.finals[0][0] > request.deadline + LATE_S + lag:
-        found.append(f"{label}: answered {request.finals[0][0] - request.deadline:.2f} s after its time")
+    violations = list(observations.problems)
+    attempts_by_call: dict[str, list[ObservedAttempt]] = {}
+    for attempt in observations.attempts:
+        attempts_by_call.setdefault(attempt.call_id, []).append(attempt)
+    for request in observations.requests.values():
+        violations += _check_answers(request, attempts_by_call.get(request.call_id, []), observations)
+        violations += _check_releases(request, attempts_by_call.get(request.call_id, []), observations)
+    for call_id, attempts in attempts_by_call.items():
+        violations += _check_single_pending(call_id, attempts, observations.min_resend_gap_s)
+    violations += _check_draining(observations)
+    if observations.unanswered_bad_callers:
+        violations.append(f"{observations.unanswered_bad_callers} bad callers left with no word and no close")
+    return violations
+
+
+def _check_answers(
+    request: SetUpRequest, attempts: list[ObservedAttempt], observations: Observations
+) -> list[str]:
+    violations = []
+    label = f"request {request.call_id}"
+    if len(request.final_responses) > 1:
+        violations.append(
+            f"{label}: a second answer ({[status for _, status, _ in request.final_responses]})"
+        )
+    if (
+        request.release_times
+        and request.final_responses
+        and request.release_times[0] < request.final_responses[0][0]
+    ):
+        violations.append(f"{label}: released before its answer ({request.final_responses[0][1]})")
+    lag_s = observations.max_lag_s
+    if (
+        request.cancelled_at
+        and request.final_responses
+        and request.final_responses[0][0] > request.cancelled_at + CLOSE_RACE_S + lag_s
+    ):
+        late_ms = (request.final_responses[0][0] - request.cancelled_at) * 1000
+        violations.append(f"{label}: answered {late_ms:.0f} ms after it was given up")
+    if (
+        request.written_at
+        and not request.final_responses
+        and not request.cancelled_at
+        and not request.exemption
+    ):
+        violations.append(
+            f"{label}: lost, sent "
+            f"{request.written_at - (observations.stop_requested_at or request.written_at):.2f} s "
+            "after SIGTERM, no answer"
+        )
+    if request.final_responses and request.final_responses[0][0] > request.deadline + MAX_LATENESS_S + lag_s:
+        violations.append(
+            f"{label}: answered {request.final_responses[0][0] - request.deadline:.2f} s after its time"
+        )
     bodies = {attempt.body for attempt in attempts if attempt.body}
-    for _, status, body in request.finals:
+    for _, status, body in request.final_responses:
         if status < 300 and body not in bodies:
-            found.append(f"{label}: served with what no lab hub made for it")
-    return found
+            violations.append(f"{label}: served with what no lab hub made for it")
+    return violations
 
 
-def _releases(request: Request, attempts: list[Attempt], record: Record) -> list[str]:
+def _check_releases(
+    request: SetUpRequest, attempts: list[ObservedAttempt], observations: Observations
+) -> list[str]:
     """Only of calls that ended well before the program did."""
-    standing = [a for a in attempts if a.body and request.finals and a.body == request.finals[0][2]]
-    if not request.stands or not standing or request.given_up:
+    served_by = [
+        a for a in attempts if a.body and request.final_responses and a.body == request.final_responses[0][2]
+    ]
+    if not request.established or not served_by or request.cancelled_at:
         return []
-    attempt = standing[0]
-    limit = (RELEASE_S if attempt.over_how == "released" else SILENT_RELEASE_S) + SLACK_S
-    over = max(attempt.over, request.finals[0][0])
-    end = record.stop_asked or record.program_ended
-    if not attempt.over or over + limit > end:
+    attempt = served_by[0]
+    limit = (
+        RELEASE_LIMIT_S if attempt.call_end_cause == "released" else FAILED_HUB_RELEASE_LIMIT_S
+    ) + TIMING_SLACK_S
+    call_ended_at = max(attempt.call_ended_at, request.final_responses[0][0])
+    observed_until = observations.stop_requested_at or observations.program_ended_at
+    if not attempt.call_ended_at or call_ended_at + limit > observed_until:
         return []
-    heard = [at for at in request.releases if at <= over + limit]
-    return [] if heard else [f"request {request.call}: its end ({attempt.over_how}) was not told in time"]
-
-
-def _one_out(call: str, attempts: list[Attempt], gap_s: float) -> list[str]:
-    found = []
-    order = sorted(attempts, key=lambda attempt: attempt.began)
-    for earlier, later in zip(order, order[1:], strict=False):
-        if earlier.how == "unknown" or earlier.uncertain or later.uncertain:
+    in_time = [at for at in request.release_times if at <= call_ended_at + limit]
+    return (
+        []
+        if in_time
+        else [f"request {request.call_id}: its end ({attempt.call_end_cause}) was not told in time"]
+    )
+
+
+def _check_single_pending(call_id: str, attempts: list[ObservedAttempt], min_gap_s: float) -> list[str]:
+    violations = []
+    by_start = sorted(attempts, key=lambda attempt: attempt.started_at)
+    for earlier, later in zip(by_start, by_start[1:], strict=False):
+        if earlier.outcome == "unknown" or earlier.arrival_uncertain or later.arrival_uncertain:
             continue
-        if not earlier.ended or earlier.ended > later.began + SLACK_S:
-            found.append(f"request {call}: two attempts out, at {earlier.hub} and {later.hub}")
+        if not earlier.ended_at or earlier.ended_at > later.started_at + TIMING_SLACK_S:
+            violations.append(f"request {call_id}: two attempts pending, at {earlier.hub} and {later.hub}")
             continue
-        gap = later.began - earlier.ended
-        if earlier.how in ("cancelled", "closed", "reset") and gap < gap_s - SLACK_S:
-            found.append(
-                f"request {call}: sent again {gap * 1000:.0f} ms after it was {earlier.how} at {earlier.hub}"
+        gap_s = later.started_at - earlier.ended_at
+        if earlier.outcome in ("cancelled", "closed", "reset") and gap_s < min_gap_s - TIMING_SLACK_S:
+            violations.append(
+                f"request {call_id}: sent again {gap_s * 1000:.0f} ms "
+                f"after it was {earlier.outcome} at {earlier.hub}"
             )
-    return found
+    return violations
 
 
-def _counts_from(change: Change, record: Record) -> float:
-    told = min(change.told or float("inf"), change.had + TOLD_S)
-    for since in record.reachable_since:
-        if since >= change.had:
-            told = min(told, since + TOLD_AFTER_FAILURE_S)
-    return told
+def _notification_time(change: HubStatusChange, observations: Observations) -> float:
+    counts_from = min(change.notified_at or float("inf"), change.recorded_at + NOTIFICATION_LIMIT_S)
+    for since in observations.discovery_reachable_at:
+        if since >= change.recorded_at:
+            counts_from = min(counts_from, since + NOTIFICATION_LIMIT_AFTER_OUTAGE_S)
+    return counts_from
 
 
-def _drains(record: Record) -> list[str]:
-    found = []
-    for number, change in enumerate(record.changes):
+def _check_draining(observations: Observations) -> list[str]:
+    violations = []
+    for number, change in enumerate(observations.changes):
         if change.state == "up":
             continue
-        start = _counts_from(change, record) + DRAIN_S + SLACK_S
-        later = [c for c in record.changes[number + 1 :] if c.hub == change.hub and c.state == "up"]
-        end = later[0].had if later else float("inf")
-        for attempt in record.attempts:
-            if attempt.hub == change.hub and start < attempt.began < end:
-                after = attempt.began - start + DRAIN_S
-                found.append(
-                    f"request {attempt.call}: sent to {change.hub} {after:.2f} s after it was {change.state}"
+        limit_passed_at = _notification_time(change, observations) + DRAIN_LIMIT_S + TIMING_SLACK_S
+        later_up_changes = [
+            c for c in observations.changes[number + 1 :] if c.hub == change.hub and c.state == "up"
+        ]
+        up_again_at = later_up_changes[0].recorded_at if later_up_changes else float("inf")
+        for attempt in observations.attempts:
+            if attempt.hub == change.hub and limit_passed_at < attempt.started_at < up_again_at:
+                after_s = attempt.started_at - limit_passed_at + DRAIN_LIMIT_S
+                violations.append(
+                    f"request {attempt.call_id}: sent to {change.hub} {after_s:.2f} s "
+                    f"after it was {change.state}"
                 )
-    return found
+    return violations
 
 
 def earliest_kill(longest_deadline_s: float) -> float:
     """Seconds from SIGTERM to the earliest SIGKILL."""
-    return min(longest_deadline_s, LONGEST_S) + KILL_S
+    return min(longest_deadline_s, MAX_DEADLINE_S) + KILL_MARGIN_S
--- a/landingdeal/lab/trial/trial.py
+++ b/landingdeal/lab/trial/trial.py
@@ -19,7 +19,13 @@
 from landingdeal.lab.trial.callers import HASTY, USUAL, Callers
 from landingdeal.lab.trial.hub import CALM, ROUGH, Hub
 from landingdeal.lab.trial.loop import TrialEventLoop
-from landingdeal.lab.trial.rules import KILL_S, Change, Record, check, earliest_kill
+from landingdeal.lab.trial.rules import (
+    KILL_MARGIN_S,
+    HubStatusChange,
+    Observations,
+    check_rules,
+    earliest_kill,
+)
 
 ROOT = Path(__file__).resolve().parents[3]
 READY_S = 20.0
@@ -98,12 +104,14 @@
         self.plan, self.folder = plan, folder
         self.rng = random.Random(plan.seed * 7919 + 1)
         self.loop = TrialEventLoop()
-        self.record = Record()
+        self.observations = Observations()
         self.result = Result(plan)
-        self.hubs = [Hub(self.loop, self.rng, self.record, f"s-{n}", n) for n in range(1, plan.hubs + 1)]
+        self.hubs = [
+            Hub(self.loop, self.rng, self.observations, f"s-{n}", n) for n in range(1, plan.hubs + 1)
+        ]
         self.events = EventLog([])
         self.events.add([self._row(hub, "up") for hub in self.hubs], [], snapshot=True)
-        self.buses = [Bus(self.loop, self.rng, self.record, self.events) for _ in range(2)]
+        self.buses = [Bus(self.loop, self.rng, self.observations, self.events) for _ in range(2)]
         self.bus = self.buses[0]
         self.port = free_port()
         self.config = folder / "config.json"
@@ -144,8 +152,8 @@
             self.process = subprocess.Popen(
                 [sys.executable, "-B", "-m", "landingdeal"], cwd=ROOT, env=environment, stdout=log, stderr=log
             )
-        self.record.started = time.time()
-        self.record.stop_asked = 0.0
+        self.observations.process_started_at = time.time()
+        self.observations.stop_requested_at = 0.0
 
     def _signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.poll() is None:
@@ -165,7 +173,7 @@
         deadline = time.time() + READY_S
         while time.time() < deadline and not callers.well:
             if self.process is None or self.process.poll() is not None:
-                self.record.problem("the process ended before it was ready")
+                self.observations.add_problem("the process ended before it was ready")
                 return False
             line = callers.connect()
             if line is not None:
@@ -175,7 +183,7 @@
             else:
                 self.loop.run(lambda: False, time.time() + 0.02)
         if not callers.well:
-            self.record.problem("the process does not get ready")
+            self.observations.add_problem("the process does not get ready")
         return callers.well
 
     # --- faults ---
@@ -205,8 +213,8 @@
         self.loop.call_after(self.rng.uniform(0.1, 0.7), self._hub_fault)
 
     def _tell(self, hub: Hub, state: str, since_ms: int = 0) -> None:
-        change = Change(hub.name, state, time.time())
-        self.record.changes.append(change)
+        change = HubStatusChange(hub.name, state, time.time())
+        self.observations.changes.append(change)
         self.events.add([self._row(hub, state, since_ms)], [change])
         self.bus.tell()
 
@@ -258,8 +266,8 @@
     # --- one life of the process ---
 
     def _live(self, last: bool) -> None:
-        plan, record = self.plan, self.record
-        callers = Callers(self.loop, self.rng, record, self.port, [hub.number for hub in self.hubs])
+        plan, observations = self.plan, self.observations
+        callers = Callers(self.loop, self.rng, observations, self.port, [hub.number for hub in self.hubs])
         callers.deadlines_s = dict(zip(("voice", "data"), (d / 1000 for d in plan.deadlines_ms), strict=True))
         self._start()
         if not self._wait_until_ready(callers):
@@ -303,12 +311,14 @@
     def _stop(self, callers: Callers) -> None:
         """SIGTERM, new connections for a while, open ones used until the earliest kill, then SIGKILL."""
         if self.process is None or self._gone():
-            self.record.problem(f"the process ended by itself: {self.process and self.process.returncode}")
+            self.observations.add_problem(
+                f"the process ended by itself: {self.process and self.process.returncode}"
+            )
             return
         if self.plan.hang_at_stop:
             for hub in self.hubs[: len(self.hubs) // 2 + 1]:
                 hub.hang(True)
-        stopped = self.record.stop_asked = time.time()
+        stopped = self.observations.stop_requested_at = time.time()
         kill = stopped + earliest_kill(max(self.plan.deadlines_ms) / 1000)
         self._signal(signal.SIGTERM)
         for _ in range(self.rng.randint(0, 3)):
@@ -320,11 +330,13 @@
         if self._gone():
             self.result.exits_ms.append((time.time() - stopped) * 1000)
             if self.process.returncode:
-                self.record.problem(f"the process ended with {self.process.returncode} after SIGTERM")
+                self.observations.add_problem(
+                    f"the process ended with {self.process.returncode} after SIGTERM"
+                )
         else:
             self.process.kill()
         self.process.wait()
-        self.record.program_ended = time.time()
+        self.observations.program_ended_at = time.time()
         self.loop.run(lambda: False, time.time() + 0.1)
         for line in callers.lines:
             line.connection.close()
@@ -335,26 +347,26 @@
 
     def _forgive(self, stopped: float, kill: float) -> None:
         """What the kill finds unanswered is lost if it came late after SIGTERM, or if its time was up."""
-        for one in self.record.requests.values():
-            if one.finals or one.given_up:
+        for one in self.observations.requests.values():
+            if one.final_responses or one.cancelled_at:
                 continue
-            killed = self.record.program_ended >= kill
-            if killed and kill < one.deadline and one.written <= stopped + KILL_S:
-                one.excused = "its time was not up at the kill"
+            killed = self.observations.program_ended_at >= kill
+            if killed and kill < one.deadline and one.written_at <= stopped + KILL_MARGIN_S:
+                one.exemption = "its time was not up at the kill"
 
     def play(self) -> Result:
         for number in range(self.plan.starts):
             self._live(last=number == self.plan.starts - 1)
-            self.record.lag_s = self.loop.max_lag_s
+            self.observations.max_lag_s = self.loop.max_lag_s
             self.result.lag_ms = self.loop.max_lag_s * 1000
-            self.result.broken += check(self.record)
-            done, self.record.requests = self.record.requests, {}
-            self.record.attempts.clear()
-            self.record.problems.clear()
-            self.record.bad_callers_unheard = 0
-            self.result.sent += sum(one.written > 0 for one in done.values())
-            self.result.answered += sum(bool(one.finals) for one in done.values())
-            self.result.stood += sum(one.stands for one in done.values())
+            self.result.broken += check_rules(self.observations)
+            done, self.observations.requests = self.observations.requests, {}
+            self.observations.attempts.clear()
+            self.observations.problems.clear()
+            self.observations.unanswered_bad_callers = 0
+            self.result.sent += sum(one.written_at > 0 for one in done.values())
+            self.result.answered += sum(bool(one.final_responses) for one in done.values())
+            self.result.stood += sum(one.established for one in done.values())
         if self.result.descriptors > self.plan.sockets:
             self.result.broken.append(f"{self.result.descriptors} descriptors of {self.plan.sockets}")
         return self.result
