--- a/landingdeal/lab/__init__.py
+++ b/landingdeal/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for whoever the program speaks with: for the demonstration, tests and measurements."""
+"""Emulated peers of the program for the demonstration, tests and measurements."""
--- a/landingdeal/lab/trial/__init__.py
+++ b/landingdeal/lab/trial/__init__.py
@@ -1,1 +1,1 @@
-"""Short, dense trials: one process on the platform's front among emulated callers, lab hubs and discovery."""
+"""Short, dense fault trials: the program's process among emulated callers, lab hubs and discovery."""
--- a/landingdeal/lab/trial/callers.py
+++ b/landingdeal/lab/trial/callers.py
@@ -1,4 +1,4 @@
-"""Emulated callers: usual ones, hasty ones, and bad ones."""
+"""Emulated callers: well-behaved, impatient and misbehaving ones."""
 
 from __future__ import annotations
 
@@ -12,67 +12,70 @@
 from landingdeal.lab.trial.rules import CLOSE_RACE_S, Observations, SetUpRequest
 from landingdeal.sip.message import Message, encode, request, response
 
-CONNECT_S = 0.5
-BAD_CALLER_S = 3.0  # within which a bad caller is owed a refusal, an error or a close
+CONNECT_TIMEOUT_S = 0.5
+MISBEHAVING_CALLER_LIMIT_S = 3.0  # within which such a caller must get a refusal, an error or a close
 BODY = b"9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n"
 
 
 @dataclass(frozen=True)
-class Habits:
-    """Shares of all set-ups that are sent so."""
+class BehaviourRates:
+    """The share of all set-ups to which each behaviour applies."""
 
-    pieces: float = 0.15
-    gives_up: float = 0.08
-    repeats: float = 0.0  # the same set-up again on the same connection
-    cut: float = 0.0  # the connection is cut just after the set-up, which goes out again on a new one
-    leaves: float = 0.03  # the connection is closed with the set-up open
+    in_pieces: float = 0.15  # written in several parts with pauses
+    cancels: float = 0.08  # a CANCEL follows
+    repeats_set_up: float = 0.0  # the same set-up is sent again on the same connection
+    cuts_connection: float = 0.0  # right after the set-up, which is sent again on a new connection
+    closes: float = 0.03  # the caller closes the connection while the set-up is pending
 
 
-USUAL = Habits()
-HASTY = Habits(0.3, 0.15, 0.06, 0.05, 0.04)
+USUAL_BEHAVIOUR = BehaviourRates()
+IMPATIENT_BEHAVIOUR = BehaviourRates(0.3, 0.15, 0.06, 0.05, 0.04)
 
 
 @dataclass
-class Line:
-    """One connection of the callers and what is open on it."""
+class ClientConnection:
+    """One connection from a caller to the program and the set-ups pending on it."""
 
     connection: EmulatedConnection
-    open: dict[str, SetUpRequest] = field(default_factory=dict)
-    busy: bool = False  # a set-up is being written in pieces
-    heard: int = 0
+    pending: dict[str, SetUpRequest] = field(default_factory=dict)
+    writing_in_pieces: bool = False  # a set-up is being written in several parts
+    messages_received: int = 0
 
 
 class Callers:
+    """Sends set-ups to the program at random times on several connections and records the responses."""
+
     def __init__(
         self,
         loop: TrialEventLoop,
         rng: random.Random,
         observations: Observations,
         port: int,
-        numbers: list[int],
+        hub_numbers: list[int],
     ) -> None:
-        self.loop, self.rng, self.observations, self.port, self.numbers = (
+        self.loop, self.rng, self.observations, self.port, self.hub_numbers = (
             loop,
             rng,
             observations,
             port,
-            numbers,
+            hub_numbers,
         )
-        self.habits = USUAL
-        self.deadlines_s: dict[str, float] = {}  # of each class
-        self.lines: list[Line] = []
-        self.lines_most = 6
-        self.per_s = 80.0
-        self.connecting = self.calling = True
-        self.well = False
+        self.behaviour = USUAL_BEHAVIOUR
+        self.deadlines_s: dict[str, float] = {}  # by call class
+        self.clients: list[ClientConnection] = []
+        self.max_clients = 6
+        self.set_ups_per_s = 80.0
+        self.connecting = self.sending = True
+        self.ready = False
         self.sent = 0
-        self.texts: dict[str, tuple[bytes, float]] = {}  # each set-up as sent, and its patience in seconds
+        # By Call-ID: the set-up as sent, and its X-Patience in seconds.
+        self.sent_texts: dict[str, tuple[bytes, float]] = {}
 
     # --- connections ---
 
-    def _dial(self) -> socket.socket | None:
+    def _open_socket(self) -> socket.socket | None:
         sock = socket.socket()
-        sock.settimeout(CONNECT_S)
+        sock.settimeout(CONNECT_TIMEOUT_S)
         try:
             sock.connect(("127.0.0.1", self.port))
         except OSError:
@@ -80,219 +83,230 @@
             return None
         return sock
 
-    def connect(self) -> Line | None:
-        sock = self._dial()
+    def connect(self) -> ClientConnection | None:
+        sock = self._open_socket()
         if sock is None:
             return None
-        connection = EmulatedConnection(self.loop, sock, lambda _c, m: self._message(line, m),
-                                lambda _c: self._ended(line), lambda _c: self._unreadable(line))  # fmt: skip
-        line = Line(connection)
-        self.lines.append(line)
-        return line
-
-    def _unreadable(self, line: Line) -> None:
-        self.observations.add_problem("a caller got what cannot be read")
-        self._ended(line)
-
-    def _ended(self, line: Line) -> None:
-        """The program closed it, or its process has ended."""
-        if line in self.lines:
-            self.lines.remove(line)
+        connection = EmulatedConnection(self.loop, sock, lambda _c, m: self._received(client, m),
+                                        lambda _c: self._connection_ended(client),
+                                        lambda _c: self._received_unreadable(client))  # fmt: skip
+        client = ClientConnection(connection)
+        self.clients.append(client)
+        return client
+
+    def _received_unreadable(self, client: ClientConnection) -> None:
+        self.observations.add_problem("a caller received an unreadable message")
+        self._connection_ended(client)
+
+    def _connection_ended(self, client: ClientConnection) -> None:
+        """Handles a connection that the program closed or that ended with its process."""
+        if client in self.clients:
+            self.clients.remove(client)
         now = time.time()
-        for one in line.open.values():
-            if one.final_responses or one.cancelled_at:
+        for set_up in client.pending.values():
+            if set_up.final_responses or set_up.cancelled_at:
                 continue
-            if not one.written_at or now - one.written_at <= CLOSE_RACE_S:
-                self._send_again(one)
-
-    def _send_again(self, one: SetUpRequest) -> None:
-        """Once, on a new connection; where none comes up nothing has been taken."""
-        line = None if one.resent else self.connect()
-        if line is None:
-            one.exemption = one.exemption or ("" if one.resent else "crossed a close, and nobody listens")
+            if not set_up.written_at or now - set_up.written_at <= CLOSE_RACE_S:
+                self._resend(set_up)
+
+    def _resend(self, set_up: SetUpRequest) -> None:
+        """Sends the set-up once more on a new connection; if none opens, the program took nothing."""
+        client = None if set_up.resent else self.connect()
+        if client is None:
+            set_up.exemption = set_up.exemption or (
+                "" if set_up.resent else "raced with a close, and no listener"
+            )
             return
-        one.resent = True
-        self._put(line, one, pieces=1)
+        set_up.resent = True
+        self._write(client, set_up, pieces=1)
 
-    def leave(self, line: Line, reset: bool = False) -> None:
-        for one in line.open.values():
-            one.exemption = one.exemption or "its caller left"
-        line.connection.close(reset)
-        if line in self.lines:
-            self.lines.remove(line)
+    def close(self, client: ClientConnection, reset: bool = False) -> None:
+        for set_up in client.pending.values():
+            set_up.exemption = set_up.exemption or "its caller closed the connection"
+        client.connection.close(reset)
+        if client in self.clients:
+            self.clients.remove(client)
 
     # --- set-ups ---
 
     def start(self) -> None:
-        self.loop.call_after(self.rng.expovariate(self.per_s), self._arrive)
+        self.loop.call_after(self.rng.expovariate(self.set_ups_per_s), self._send_next)
 
-    def _arrive(self) -> None:
-        if not self.calling:
+    def _send_next(self) -> None:
+        if not self.sending:
             return
-        self.call()
-        self.loop.call_after(self.rng.expovariate(self.per_s), self._arrive)
-
-    def call(self) -> None:
-        free = [line for line in self.lines if not line.busy and not line.connection.ended]
-        line: Line | None = None
-        if self.connecting and (len(self.lines) < self.lines_most or not free):
-            line = self.connect()
-        if line is None and free:
-            line = self.rng.choice(free)
-        if line is None:
+        self.place_call()
+        self.loop.call_after(self.rng.expovariate(self.set_ups_per_s), self._send_next)
+
+    def place_call(self) -> None:
+        free = [
+            client for client in self.clients if not client.writing_in_pieces and not client.connection.ended
+        ]
+        client: ClientConnection | None = None
+        if self.connecting and (len(self.clients) < self.max_clients or not free):
+            client = self.connect()
+        if client is None and free:
+            client = self.rng.choice(free)
+        if client is None:
             return
-        self.set_up(line)
+        self.send_set_up(client)
         if self.connecting and self.rng.random() < 0.05:
-            idle = [one for one in self.lines if not one.open and not one.busy]
+            idle = [other for other in self.clients if not other.pending and not other.writing_in_pieces]
             if idle:
-                self.leave(self.rng.choice(idle))
+                self.close(self.rng.choice(idle))
 
-    def set_up(self, line: Line) -> None:
-        class_name, longest = self.rng.choice(list(self.deadlines_s.items()))
-        patience = longest if self.rng.random() < 0.7 else self.rng.uniform(0.05, longest)
-        one = SetUpRequest(f"{self.rng.getrandbits(64):016x}")
-        self.observations.requests[one.call_id] = one
+    def send_set_up(self, client: ClientConnection) -> None:
+        class_name, deadline_s = self.rng.choice(list(self.deadlines_s.items()))
+        patience_s = deadline_s if self.rng.random() < 0.7 else self.rng.uniform(0.05, deadline_s)
+        set_up = SetUpRequest(f"{self.rng.getrandbits(64):016x}")
+        self.observations.requests[set_up.call_id] = set_up
         self.sent += 1
         text = encode(request(
-            "INVITE", f"sip:{one.call_id}@net", ("via", "SIP/2.0/TCP peer"), ("call-id", one.call_id),
-            ("cseq", "1 INVITE"), ("subject", class_name), ("x-patience", str(int(patience * 1000))),
-            ("x-facts", f"dest:{self.rng.choice(self.numbers)};width:1;via:-1"), body=BODY,
+            "INVITE", f"sip:{set_up.call_id}@net", ("via", "SIP/2.0/TCP peer"), ("call-id", set_up.call_id),
+            ("cseq", "1 INVITE"), ("subject", class_name), ("x-patience", str(int(patience_s * 1000))),
+            ("x-facts", f"dest:{self.rng.choice(self.hub_numbers)};width:1;via:-1"), body=BODY,
         ))  # fmt: skip
-        self.texts[one.call_id] = text, patience
-        pieces = self.rng.randint(2, 6) if self.rng.random() < self.habits.pieces else 1
-        self._put(line, one, pieces)
-        self._habit(line, one)
+        self.sent_texts[set_up.call_id] = text, patience_s
+        pieces = self.rng.randint(2, 6) if self.rng.random() < self.behaviour.in_pieces else 1
+        self._write(client, set_up, pieces)
+        self._apply_behaviour(client, set_up)
 
-    def _put(self, line: Line, one: SetUpRequest, pieces: int) -> None:
-        text, patience = self.texts[one.call_id]
-        line.open[one.call_id] = one
+    def _write(self, client: ClientConnection, set_up: SetUpRequest, pieces: int) -> None:
+        text, patience_s = self.sent_texts[set_up.call_id]
+        client.pending[set_up.call_id] = set_up
 
-        def written() -> None:
-            line.busy = False
-            one.written_at = time.time()
-            one.deadline = one.written_at + patience
+        def on_written() -> None:
+            client.writing_in_pieces = False
+            set_up.written_at = time.time()
+            set_up.deadline = set_up.written_at + patience_s
 
         if pieces == 1:
-            line.connection.send(text, written)
+            client.connection.send(text, on_written)
             return
-        line.busy = True
-        line.connection.send_in_pieces(text, pieces, self.rng.uniform(0.0, 0.03), written)
-
-    def _habit(self, line: Line, one: SetUpRequest) -> None:
-        habits, chance = self.habits, self.rng.random()
-        plays: list[tuple[float, Callable[[], None]]] = [
-            (habits.gives_up, lambda: self._give_up(line, one)),
-            (habits.repeats, lambda: self._repeat(line, one)),
-            (habits.cut, lambda: self._cut(line, one)),
-            (habits.leaves, lambda: self._leave_with(line, one)),
+        client.writing_in_pieces = True
+        client.connection.send_in_pieces(text, pieces, self.rng.uniform(0.0, 0.03), on_written)
+
+    def _apply_behaviour(self, client: ClientConnection, set_up: SetUpRequest) -> None:
+        behaviour, remaining = self.behaviour, self.rng.random()
+        weighted_actions: list[tuple[float, Callable[[], None]]] = [
+            (behaviour.cancels, lambda: self._cancel(client, set_up)),
+            (behaviour.repeats_set_up, lambda: self._repeat_set_up(client, set_up)),
+            (behaviour.cuts_connection, lambda: self._cut_connection(client, set_up)),
+            (behaviour.closes, lambda: self._close_while_pending(client, set_up)),
         ]
-        for share, play in plays:
-            if chance < share:
-                self.loop.call_after(self.rng.choice((0.0, 0.002, 0.02, 0.1)), play)
+        for rate, action in weighted_actions:
+            if remaining < rate:
+                self.loop.call_after(self.rng.choice((0.0, 0.002, 0.02, 0.1)), action)
                 return
-            chance -= share
+            remaining -= rate
 
-    def _give_up(self, line: Line, one: SetUpRequest) -> None:
-        if line.connection.ended or line.busy or not one.written_at or one.final_responses:
+    def _cancel(self, client: ClientConnection, set_up: SetUpRequest) -> None:
+        if (
+            client.connection.ended
+            or client.writing_in_pieces
+            or not set_up.written_at
+            or set_up.final_responses
+        ):
             return
 
-        def written() -> None:
-            one.cancelled_at = time.time()
+        def on_written() -> None:
+            set_up.cancelled_at = time.time()
 
-        headers = ("via", "SIP/2.0/TCP peer"), ("call-id", one.call_id), ("cseq", "1 CANCEL")
-        line.connection.send(encode(request("CANCEL", f"sip:{one.call_id}@net", *headers)), written)
+        headers = ("via", "SIP/2.0/TCP peer"), ("call-id", set_up.call_id), ("cseq", "1 CANCEL")
+        client.connection.send(encode(request("CANCEL", f"sip:{set_up.call_id}@net", *headers)), on_written)
 
-    def _repeat(self, line: Line, one: SetUpRequest) -> None:
-        if not line.connection.ended and not line.busy and one.written_at:
-            line.connection.send(self.texts[one.call_id][0])
+    def _repeat_set_up(self, client: ClientConnection, set_up: SetUpRequest) -> None:
+        if not client.connection.ended and not client.writing_in_pieces and set_up.written_at:
+            client.connection.send(self.sent_texts[set_up.call_id][0])
 
-    def _cut(self, line: Line, one: SetUpRequest) -> None:
-        """The network cuts the connection: its caller cannot tell that from a close that was crossed."""
+    def _cut_connection(self, client: ClientConnection, set_up: SetUpRequest) -> None:
+        """Cuts the connection. To the caller it looks like a close that raced with its set-up."""
         if (
-            line.connection.ended
-            or one.final_responses
-            or not one.written_at
-            or time.time() - one.written_at > CLOSE_RACE_S
+            client.connection.ended
+            or set_up.final_responses
+            or not set_up.written_at
+            or time.time() - set_up.written_at > CLOSE_RACE_S
         ):
             return
-        others = [other for other in line.open.values() if other is not one]
-        for other in others:
+        other_set_ups = [other for other in client.pending.values() if other is not set_up]
+        for other in other_set_ups:
             other.exemption = other.exemption or "its connection was cut"
-        line.connection.close(reset=self.rng.random() < 0.5)
-        if line in self.lines:
-            self.lines.remove(line)
-        self._send_again(one)
+        client.connection.close(reset=self.rng.random() < 0.5)
+        if client in self.clients:
+            self.clients.remove(client)
+        self._resend(set_up)
 
-    def _leave_with(self, line: Line, one: SetUpRequest) -> None:
-        if not line.connection.ended and one.written_at and not one.final_responses:
-            self.leave(line, reset=self.rng.random() < 0.5)
+    def _close_while_pending(self, client: ClientConnection, set_up: SetUpRequest) -> None:
+        if not client.connection.ended and set_up.written_at and not set_up.final_responses:
+            self.close(client, reset=self.rng.random() < 0.5)
 
-    # --- what comes back ---
+    # --- received messages ---
 
-    def _message(self, line: Line, message: Message) -> None:
-        line.heard += 1
+    def _received(self, client: ClientConnection, message: Message) -> None:
+        client.messages_received += 1
         if message.method:
-            self._released(line, message)
+            self._received_request(client, message)
             return
         method = message.cseq[1]
         if method == "OPTIONS":
-            self.well = message.status == 200
+            self.ready = message.status == 200
         if method != "INVITE" or message.status < 200:
             return
-        one = self.observations.requests.get(message.call_id)
-        if one is None:
-            self.observations.add_problem(f"an answer to {message.call_id}, which nobody sent")
+        set_up = self.observations.requests.get(message.call_id)
+        if set_up is None:
+            self.observations.add_problem(f"an answer to {message.call_id}, which no caller sent")
             return
-        line.open.pop(one.call_id, None)
-        one.final_responses.append((time.time(), message.status, message.body))
-        headers = ("via", "SIP/2.0/TCP peer"), ("call-id", one.call_id), ("cseq", "1 ACK")
-        if not line.busy:
-            line.connection.send(encode(request("ACK", f"sip:{one.call_id}@net", *headers)))
-
-    def _released(self, line: Line, message: Message) -> None:
-        if not line.busy:
-            line.connection.send(encode(response(message, 200)))
-        one = self.observations.requests.get(message.call_id)
-        if message.method == "BYE" and one is not None:
-            one.release_times.append(time.time())
-
-    # --- tests and bad callers ---
-
-    def test(self, line: Line) -> None:
+        client.pending.pop(set_up.call_id, None)
+        set_up.final_responses.append((time.time(), message.status, message.body))
+        headers = ("via", "SIP/2.0/TCP peer"), ("call-id", set_up.call_id), ("cseq", "1 ACK")
+        if not client.writing_in_pieces:
+            client.connection.send(encode(request("ACK", f"sip:{set_up.call_id}@net", *headers)))
+
+    def _received_request(self, client: ClientConnection, message: Message) -> None:
+        if not client.writing_in_pieces:
+            client.connection.send(encode(response(message, 200)))
+        set_up = self.observations.requests.get(message.call_id)
+        if message.method == "BYE" and set_up is not None:
+            set_up.release_times.append(time.time())
+
+    # --- readiness tests and misbehaving callers ---
+
+    def send_options(self, client: ClientConnection) -> None:
         headers = ("call-id", "1"), ("cseq", "1 OPTIONS")
-        line.connection.send(encode(request("OPTIONS", "sip:ping@net", *headers)))
+        client.connection.send(encode(request("OPTIONS", "sip:ping@net", *headers)))
 
-    def bad(self) -> None:
-        """A caller that sends what is wrong; it is owed a refusal, an error or a close."""
-        sock = self._dial()
+    def open_bad_connection(self) -> None:
+        """Connects and sends invalid data; the program must respond with a refusal, an error or a close."""
+        sock = self._open_socket()
         if sock is None:
             return
-        heard: list[bool] = []
-        connection = EmulatedConnection(self.loop, sock, lambda _c, _m: heard.append(True),
-                                lambda _c: heard.append(True), lambda _c: heard.append(True))  # fmt: skip
+        reactions: list[bool] = []
+        connection = EmulatedConnection(self.loop, sock, lambda _c, _m: reactions.append(True),
+                                        lambda _c: reactions.append(True),
+                                        lambda _c: reactions.append(True))  # fmt: skip
 
-        def judge() -> None:
-            self.observations.unanswered_bad_callers += not heard
+        def check_reaction() -> None:
+            self.observations.unanswered_misbehaving_callers += not reactions
             connection.close()
 
-        self.loop.call_after(BAD_CALLER_S, judge)
-        connection.send(self._nonsense())
+        self.loop.call_after(MISBEHAVING_CALLER_LIMIT_S, check_reaction)
+        connection.send(self._invalid_data())
 
-    def _nonsense(self) -> bytes:
-        stolen = [call for line in self.lines for call in line.open]
-        kind = self.rng.randrange(7)
-        if kind == 0:
+    def _invalid_data(self) -> bytes:
+        pending_call_ids = [call_id for client in self.clients for call_id in client.pending]
+        variant = self.rng.randrange(7)
+        if variant == 0:
             return b""
-        if kind == 1:
+        if variant == 1:
             head = b"INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\n"
             return head + b"Content-Length: 90000\r\n\r\n" + b"x" * 90000
-        if kind == 2:
+        if variant == 2:
             return b"INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nContent-Length: -4\r\n\r\n"
-        if kind == 3:
+        if variant == 3:
             return b"\x00\xff" * 40 + b"\r\n\r\n"
-        if kind == 4:
+        if variant == 4:
             return b"INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nCSe"
-        if not stolen:
+        if not pending_call_ids:
             return b"PUBLISH x SIP/2.0\r\nContent-Length: 0\r\n\r\n"
-        text = self.texts[self.rng.choice(stolen)][0]
-        return text if kind == 5 else text * 40
+        text = self.sent_texts[self.rng.choice(pending_call_ids)][0]
+        return text if variant == 5 else text * 40
--- a/landingdeal/lab/trial/loop.py
+++ b/landingdeal/lab/trial/loop.py
@@ -1,4 +1,4 @@
-"""One thread that plays every party of a trial: a selector, a timer heap and nonblocking connections."""
+"""The event loop of a trial: one thread with a selector, a timer heap and nonblocking connections."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from landingdeal.lab.ports import free_port
 from landingdeal.sip.message import Framer, FramingError, MalformedMessage, Message
 
-MAX_WAIT_S = 0.02  # the longest wait of the selector
+MAX_WAIT_S = 0.02  # the longest wait in the selector
 READ_BYTES = 65536
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: the close sends a reset
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with time 0: close() sends a reset
 
 
 class TrialEventLoop:
-    """Times are seconds of the system's Unix clock."""
+    """Runs callbacks at given times and on socket events. Times are seconds of the system's Unix clock."""
 
     def __init__(self) -> None:
         self.selector = selectors.DefaultSelector()
         self._timers: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self.max_lag_s = 0.0  # the longest time between two looks
+        self.max_lag_s = 0.0  # the longest delay of an iteration
 
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
         heapq.heappush(self._timers, (when, next(self._order), callback))
@@ -35,7 +35,7 @@
         self.call_at(time.time() + seconds, callback)
 
     def run(self, done: Callable[[], bool], deadline: float) -> bool:
-        """Plays until `done`, or the deadline; False if that came first."""
+        """Runs until `done` returns True or the deadline has passed; returns False in the second case."""
         last_iteration = time.time()
         while not done():
             now = time.time()
@@ -50,7 +50,7 @@
         return True
 
     def listen(self, on_accepted: Callable[[socket.socket], None], port: int = 0) -> socket.socket:
-        """At that port, or at one that stays free while nobody listens there."""
+        """Listens on `port`, or on a port that stays free while nothing listens there."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(("127.0.0.1", port or free_port()))
@@ -79,7 +79,7 @@
 
 
 class EmulatedConnection:
-    """A nonblocking connection of one emulated party. `on_end` is called once, unless the party closes it."""
+    """A nonblocking connection of an emulated party. `on_end` is called once, unless the party closes it."""
 
     def __init__(
         self,
@@ -95,13 +95,13 @@
         self.loop, self.sock, self.raw = loop, sock, raw
         self.on_message, self.on_end, self.on_unreadable = on_message, on_end, on_unreadable
         self.framer = Framer()
-        self.received = b""  # only where `raw`: not cut into messages
+        self.received = b""  # only if `raw`: not split into messages
         self.ended = self.hung = False
         self._unsent: deque[tuple[bytes, Callable[[], None]]] = deque()
         loop.selector.register(sock, selectors.EVENT_READ, self._ready)
 
     def send(self, data: bytes, on_written: Callable[[], None] = lambda: None) -> None:
-        """`on_written` is called once the system has taken the last byte."""
+        """`on_written` is called when the kernel has accepted the last byte."""
         if not self.ended:
             self._unsent.append((data, on_written))
             self._flush()
@@ -120,7 +120,7 @@
         send_part(0)
 
     def hang(self, hung: bool) -> None:
-        """Neither reads nor writes any more, and stays open."""
+        """Starts or ends a hang: the connection stays open but neither reads nor writes."""
         if not self.ended and hung is not self.hung:
             self.hung = hung
             if hung:
@@ -183,7 +183,7 @@
         try:
             for message in self.framer.feed(data):
                 if self.ended:
-                    return  # its party closed it meanwhile: what is left was never seen
+                    return  # a handler closed the connection: the party never sees the rest
                 if isinstance(message, MalformedMessage):
                     self.on_unreadable(self)
                 else:
--- a/landingdeal/lab/trial/rules.py
+++ b/landingdeal/lab/trial/rules.py
@@ -1,36 +1,37 @@
-"""The rules of the platform's protocol, checked on what the parties of a trial recorded.
+"""Checks the rules of the platform's protocol on what the parties of a trial observed.
 
-Times are seconds of the system's Unix clock, as the parties saw them.
+Times are seconds of the system's Unix clock, as the parties read it.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MAX_LATENESS_S = 0.5  # an answer so much after its time only earns nothing; a later one is lost
-TIMING_SLACK_S = 0.05  # by which each time limit is longer on sockets
-CLOSE_RACE_S = 0.05  # a set-up whose last byte was written so shortly before a close is sent again, once
-RELEASE_LIMIT_S = 1.0  # for a caller to hear of the end of its call
-FAILED_HUB_RELEASE_LIMIT_S = 8.0  # where its lab hub could not tell
-DRAIN_LIMIT_S = 1.0
-NOTIFICATION_LIMIT_S = (
-    7.0  # an event counts as told so long after discovery had it, whether it arrived or not
-)
-NOTIFICATION_LIMIT_AFTER_OUTAGE_S = 6.0  # and so long after discovery could be reached again
-KILL_MARGIN_S = 0.7  # SIGKILL comes the longest deadline, and so much more, after SIGTERM
-MAX_DEADLINE_S = 3.0  # a longer deadline counts as this
+# An answer up to so much after the deadline only earns nothing; a later one counts as lost.
+MAX_LATENESS_S = 0.5
+TIMING_SLACK_S = 0.05  # added to each time limit because the messages pass through sockets
+CLOSE_RACE_S = 0.05  # a set-up written so shortly before a close is sent again, once
+RELEASE_LIMIT_S = 1.0  # from the end of a call to the release at its caller
+UNREPORTED_RELEASE_LIMIT_S = 8.0  # the same, if the lab hub could not report the end
+DRAIN_LIMIT_S = 1.0  # from the notification until no more set-ups may reach a draining or removed hub
+# An event counts as notified so long after discovery recorded it, whether it arrived or not,
+# or so long after discovery became reachable again.
+NOTIFICATION_LIMIT_S = 7.0
+NOTIFICATION_LIMIT_AFTER_OUTAGE_S = 6.0
+KILL_MARGIN_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this margin
+MAX_DEADLINE_S = 3.0  # a longer deadline counts as this one
 
 
 @dataclass
 class SetUpRequest:
-    """One set-up of a caller, under one Call-ID."""
+    """A set-up of a caller, identified by its Call-ID, and the responses to it."""
 
     call_id: str
     deadline: float = 0.0
-    written_at: float = 0.0  # its last byte; 0 where it never went out whole
-    cancelled_at: float = 0.0
-    exemption: str = ""  # why no answer is owed any more
-    final_responses: list[tuple[float, int, bytes]] = field(default_factory=list)
+    written_at: float = 0.0  # when the last byte was written; 0: never written whole
+    cancelled_at: float = 0.0  # 0: not cancelled
+    exemption: str = ""  # the reason why no answer is required any more
+    final_responses: list[tuple[float, int, bytes]] = field(default_factory=list)  # time, status, body
     release_times: list[float] = field(default_factory=list)
     resent: bool = False
 
@@ -41,7 +42,7 @@
 
 @dataclass
 class ObservedAttempt:
-    """One set-up as it arrived whole at a lab hub, until its end was written there or it was given up."""
+    """One set-up that arrived whole at a lab hub, until its final response was written or it was given up."""
 
     call_id: str
     hub: str
@@ -49,9 +50,9 @@
     ended_at: float = 0.0
     outcome: str = ""  # answered, refused, cancelled, closed, reset, unknown
     body: bytes = b""
-    call_ended_at: float = 0.0  # when the call that stood ended
-    call_end_cause: str = ""  # released, died
-    arrival_uncertain: bool = False  # it came while its hub was hung: when is not known
+    call_ended_at: float = 0.0  # when the established call ended
+    call_end_cause: str = ""  # released, unreported (the hub could not report it), by the program
+    arrival_uncertain: bool = False  # it arrived during a hang of its hub, at an unknown time
 
 
 @dataclass
@@ -60,34 +61,32 @@
 
     hub: str
     state: str
-    recorded_at: float  # when discovery had it
+    recorded_at: float  # when discovery recorded it
     notified_at: float = 0.0  # when it was written to the program; 0: never
 
 
 @dataclass
 class Observations:
-    """All that the parties of one trial saw."""
+    """Everything that the parties of one trial observed."""
 
     requests: dict[str, SetUpRequest] = field(default_factory=dict)
     attempts: list[ObservedAttempt] = field(default_factory=list)
     changes: list[HubStatusChange] = field(default_factory=list)
-    discovery_reachable_at: list[float] = field(
-        default_factory=list
-    )  # discovery answers again from these times on
-    unanswered_bad_callers: int = 0  # bad callers left with no refusal, no error and no close for 3 s
-    problems: list[str] = field(default_factory=list)  # what a party saw itself
+    discovery_reachable_at: list[float] = field(default_factory=list)  # the ends of its outages
+    unanswered_misbehaving_callers: int = 0  # with no refusal, error or close within 3 s
+    problems: list[str] = field(default_factory=list)  # reported by a party itself
     process_started_at: float = 0.0
     stop_requested_at: float = 0.0  # SIGTERM
     program_ended_at: float = 0.0
     min_resend_gap_s: float = 0.3
-    max_lag_s: float = 0.0  # the longest time for which the stage itself looked at nothing
+    max_lag_s: float = 0.0  # the longest time in which the test environment itself handled nothing
 
     def add_problem(self, text: str) -> None:
         self.problems.append(text)
 
 
 def check_rules(observations: Observations) -> list[str]:
-    """Every broken rule, one line each."""
+    """Returns one line per broken rule."""
     violations = list(observations.problems)
     attempts_by_call: dict[str, list[ObservedAttempt]] = {}
     for attempt in observations.attempts:
@@ -98,8 +97,10 @@
     for call_id, attempts in attempts_by_call.items():
         violations += _check_single_pending(call_id, attempts, observations.min_resend_gap_s)
     violations += _check_draining(observations)
-    if observations.unanswered_bad_callers:
-        violations.append(f"{observations.unanswered_bad_callers} bad callers left with no word and no close")
+    if observations.unanswered_misbehaving_callers:
+        violations.append(
+            f"{observations.unanswered_misbehaving_callers} misbehaving callers got no response and no close"
+        )
     return violations
 
 
@@ -125,7 +126,7 @@
         and request.final_responses[0][0] > request.cancelled_at + CLOSE_RACE_S + lag_s
     ):
         late_ms = (request.final_responses[0][0] - request.cancelled_at) * 1000
-        violations.append(f"{label}: answered {late_ms:.0f} ms after it was given up")
+        violations.append(f"{label}: answered {late_ms:.0f} ms after it was cancelled")
     if (
         request.written_at
         and not request.final_responses
@@ -139,37 +140,37 @@
         )
     if request.final_responses and request.final_responses[0][0] > request.deadline + MAX_LATENESS_S + lag_s:
         violations.append(
-            f"{label}: answered {request.final_responses[0][0] - request.deadline:.2f} s after its time"
+            f"{label}: answered {request.final_responses[0][0] - request.deadline:.2f} s after its deadline"
         )
     bodies = {attempt.body for attempt in attempts if attempt.body}
     for _, status, body in request.final_responses:
         if status < 300 and body not in bodies:
-            violations.append(f"{label}: served with what no lab hub made for it")
+            violations.append(f"{label}: answered with a body that no lab hub sent for it")
     return violations
 
 
 def _check_releases(
     request: SetUpRequest, attempts: list[ObservedAttempt], observations: Observations
 ) -> list[str]:
-    """Only of calls that ended well before the program did."""
-    served_by = [
+    """Checks only calls that ended well before the program did."""
+    answered_attempts = [
         a for a in attempts if a.body and request.final_responses and a.body == request.final_responses[0][2]
     ]
-    if not request.established or not served_by or request.cancelled_at:
+    if not request.established or not answered_attempts or request.cancelled_at:
         return []
-    attempt = served_by[0]
-    limit = (
-        RELEASE_LIMIT_S if attempt.call_end_cause == "released" else FAILED_HUB_RELEASE_LIMIT_S
+    attempt = answered_attempts[0]
+    limit_s = (
+        RELEASE_LIMIT_S if attempt.call_end_cause == "released" else UNREPORTED_RELEASE_LIMIT_S
     ) + TIMING_SLACK_S
     call_ended_at = max(attempt.call_ended_at, request.final_responses[0][0])
     observed_until = observations.stop_requested_at or observations.program_ended_at
-    if not attempt.call_ended_at or call_ended_at + limit > observed_until:
+    if not attempt.call_ended_at or call_ended_at + limit_s > observed_until:
         return []
-    in_time = [at for at in request.release_times if at <= call_ended_at + limit]
+    releases_in_time = [at for at in request.release_times if at <= call_ended_at + limit_s]
     return (
         []
-        if in_time
-        else [f"request {request.call_id}: its end ({attempt.call_end_cause}) was not told in time"]
+        if releases_in_time
+        else [f"request {request.call_id}: its end ({attempt.call_end_cause}) was not reported in time"]
     )
 
 
@@ -192,11 +193,12 @@
 
 
 def _notification_time(change: HubStatusChange, observations: Observations) -> float:
-    counts_from = min(change.notified_at or float("inf"), change.recorded_at + NOTIFICATION_LIMIT_S)
-    for since in observations.discovery_reachable_at:
-        if since >= change.recorded_at:
-            counts_from = min(counts_from, since + NOTIFICATION_LIMIT_AFTER_OUTAGE_S)
-    return counts_from
+    """Returns the time from which the program must know of the change."""
+    known_from = min(change.notified_at or float("inf"), change.recorded_at + NOTIFICATION_LIMIT_S)
+    for reachable_at in observations.discovery_reachable_at:
+        if reachable_at >= change.recorded_at:
+            known_from = min(known_from, reachable_at + NOTIFICATION_LIMIT_AFTER_OUTAGE_S)
+    return known_from
 
 
 def _check_draining(observations: Observations) -> list[str]:
--- a/landingdeal/lab/trial/trial.py
+++ b/landingdeal/lab/trial/trial.py
@@ -1,4 +1,4 @@
-"""One trial: a plan drawn from a seed, the process, the parties, and what was broken."""
+"""One trial: a plan drawn from a seed, the program's process, the emulated parties and the broken rules."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from typing import Any
 
 from landingdeal.lab.ports import free_port
-from landingdeal.lab.trial.bus import Bus, EventLog
-from landingdeal.lab.trial.callers import HASTY, USUAL, Callers
-from landingdeal.lab.trial.hub import CALM, ROUGH, Hub
+from landingdeal.lab.trial.bus import DiscoveryServer, EventLog
+from landingdeal.lab.trial.callers import IMPATIENT_BEHAVIOUR, USUAL_BEHAVIOUR, Callers
+from landingdeal.lab.trial.hub import DEFAULT_FAULT_RATES, HIGH_FAULT_RATES, LabHub
 from landingdeal.lab.trial.loop import TrialEventLoop
 from landingdeal.lab.trial.rules import (
     KILL_MARGIN_S,
@@ -28,10 +28,10 @@
 )
 
 ROOT = Path(__file__).resolve().parents[3]
-READY_S = 20.0
-SETTLE_S = 1.5  # after the last fault, before the end
-CROWD_S = 0.3  # within which a crowd has come
-SAMPLE_S = 0.1  # between looks at the descriptors
+READY_TIMEOUT_S = 20.0
+SETTLE_TIME_S = 1.5  # between the last fault and the end
+BURST_DURATION_S = 0.3  # all connections of a burst are opened within this time
+SAMPLE_INTERVAL_S = 0.1  # between two counts of the open descriptors
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
     "caps": {"cancel": True, "dial_timeout_ms": 500.0, "max_retry_after_ms": 2000.0, "may_probe": False,
@@ -45,106 +45,120 @@
 
 
 @dataclass(frozen=True)
-class Plan:
-    """What is played. Two plans of one seed are the same."""
+class TrialPlan:
+    """The parameters of a trial. The same seed gives the same plan."""
 
     seed: int
     deadlines_ms: tuple[float, float] = (2500.0, 1500.0)
     hubs: int = 4
-    lasts_s: float = 5.0
+    duration_s: float = 5.0
     starts: int = 2  # of the process, one after the other
-    rough_hubs: bool = True
-    hasty_callers: bool = True
-    bad_callers: bool = True
-    hub_faults: bool = True
-    bus_faults: bool = True
-    reloads: bool = True
-    crowd: int = 0  # so many more connections at once
+    faulty_hubs: bool = True  # hubs use HIGH_FAULT_RATES
+    impatient_callers: bool = True  # callers use IMPATIENT_BEHAVIOUR
+    misbehaving_callers: bool = True  # some callers send invalid data
+    hub_faults: bool = True  # hangs, crashes, resets, slow accepts and restarts of hubs
+    discovery_faults: bool = True
+    reloads: bool = True  # SIGHUP with a changed configuration
+    connection_burst: int = 0  # additional connections opened at once
     sockets: int = 256
-    hang_at_stop: bool = False
+    hang_hubs_at_stop: bool = False  # more than half of them, just before SIGTERM
     environment: tuple[tuple[str, str], ...] = ()
 
 
-def draw(seed: int) -> Plan:
+def draw_plan(seed: int) -> TrialPlan:
+    """Draws a plan from the seed."""
     rng = random.Random(seed)
-    longest = rng.choice((600.0, 1200.0, 2500.0, 4000.0))
-    return Plan(
+    longest_ms = rng.choice((600.0, 1200.0, 2500.0, 4000.0))
+    return TrialPlan(
         seed,
-        deadlines_ms=(longest, longest * rng.uniform(0.5, 1.0)),
+        deadlines_ms=(longest_ms, longest_ms * rng.uniform(0.5, 1.0)),
         hubs=rng.randint(2, 5),
-        lasts_s=rng.uniform(3.0, 7.0),
+        duration_s=rng.uniform(3.0, 7.0),
         starts=rng.randint(1, 3),
-        rough_hubs=rng.random() < 0.8,
-        hasty_callers=rng.random() < 0.7,
-        bad_callers=rng.random() < 0.5,
+        faulty_hubs=rng.random() < 0.8,
+        impatient_callers=rng.random() < 0.7,
+        misbehaving_callers=rng.random() < 0.5,
         hub_faults=rng.random() < 0.8,
-        bus_faults=rng.random() < 0.7,
+        discovery_faults=rng.random() < 0.7,
         reloads=rng.random() < 0.6,
-        crowd=rng.choice((0, 0, 40, 100)),
+        connection_burst=rng.choice((0, 0, 40, 100)),
         sockets=rng.choice((192, 256, 384)),
-        hang_at_stop=rng.random() < 0.5,
+        hang_hubs_at_stop=rng.random() < 0.5,
     )
 
 
 @dataclass
-class Result:
-    plan: Plan
-    broken: list[str] = field(default_factory=list)
+class TrialResult:
+    """What a trial counted, and the rules that were broken."""
+
+    plan: TrialPlan
+    violations: list[str] = field(default_factory=list)
     sent: int = 0
     answered: int = 0
-    stood: int = 0
-    descriptors: int = 0  # the most at one time
-    exits_ms: list[float] = field(default_factory=list)  # from SIGTERM to the end of each process
-    lag_ms: float = 0.0  # of the stage itself
+    established: int = 0
+    max_descriptors: int = 0  # open at the same time
+    exits_ms: list[float] = field(default_factory=list)  # from SIGTERM to the exit of each process
+    max_lag_ms: float = 0.0  # of the test environment itself
     log: str = ""
 
 
 class Trial:
-    def __init__(self, plan: Plan, folder: Path) -> None:
+    """Runs the process among the emulated parties and injects the faults of the plan."""
+
+    def __init__(self, plan: TrialPlan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
         self.rng = random.Random(plan.seed * 7919 + 1)
         self.loop = TrialEventLoop()
         self.observations = Observations()
-        self.result = Result(plan)
+        self.result = TrialResult(plan)
         self.hubs = [
-            Hub(self.loop, self.rng, self.observations, f"s-{n}", n) for n in range(1, plan.hubs + 1)
+            LabHub(self.loop, self.rng, self.observations, f"s-{n}", n) for n in range(1, plan.hubs + 1)
         ]
         self.events = EventLog([])
-        self.events.add([self._row(hub, "up") for hub in self.hubs], [], snapshot=True)
-        self.buses = [Bus(self.loop, self.rng, self.observations, self.events) for _ in range(2)]
-        self.bus = self.buses[0]
+        self.events.add([self._endpoint_entry(hub, "up") for hub in self.hubs], [], snapshot=True)
+        self.discovery_servers = [
+            DiscoveryServer(self.loop, self.rng, self.observations, self.events) for _ in range(2)
+        ]
+        self.discovery_server = self.discovery_servers[0]
         self.port = free_port()
         self.config = folder / "config.json"
         self.faults_until = 0.0
         self.process: subprocess.Popen[bytes] | None = None
 
     @staticmethod
-    def _row(hub: Hub, state: str, since_ms: int = 0) -> dict[str, Any]:
-        row = {"name": hub.name, "address": hub.address, "group": hub.number}
-        return {**row, "status": state, "since_ms": since_ms}
+    def _endpoint_entry(hub: LabHub, state: str, since_ms: int = 0) -> dict[str, Any]:
+        entry = {"name": hub.name, "address": hub.address, "group": hub.number}
+        return {**entry, "status": state, "since_ms": since_ms}
 
     # --- the process ---
 
-    def _settings(self) -> dict[str, Any]:
-        longest, other = self.plan.deadlines_ms
+    def _build_settings(self) -> dict[str, Any]:
+        longest_ms, other_deadline_ms = self.plan.deadlines_ms
         classes = [
-            {"name": name, "deadline_ms": deadline, "slo_ms": deadline / 3, "points": 1.0, "effect": "free"}
-            for name, deadline in (("voice", longest), ("data", other))
+            {
+                "name": name,
+                "deadline_ms": deadline_ms,
+                "slo_ms": deadline_ms / 3,
+                "points": 1.0,
+                "effect": "free",
+            }
+            for name, deadline_ms in (("voice", longest_ms), ("data", other_deadline_ms))
         ]
         specifics = {"here": 0, "mean_hold_ms": [800.0, 800.0], "release_ms": 300.0, "topology": "mesh",
                      "widths": [1, 1]}  # fmt: skip
         return {**SETTINGS, "classes": classes, "specifics": specifics}
 
     def _write_config(self) -> None:
-        made = self.folder / "config.new"
-        made.write_text(json.dumps({
+        new_config = self.folder / "config.new"
+        new_config.write_text(json.dumps({
             "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": f"{self.rng.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": self.plan.sockets},
-            "bus": self.bus.address, "known": self.events.known, "settings": self._settings(),
+            "bus": self.discovery_server.address, "known": self.events.known,
+            "settings": self._build_settings(),
         }))  # fmt: skip
-        made.replace(self.config)
+        new_config.replace(self.config)
 
-    def _start(self) -> None:
+    def _start_process(self) -> None:
         self._write_config()
         environment = {**os.environ, "ROUTER_CONFIG": str(self.config), "PYTHONPATH": str(ROOT)}
         environment.update(self.plan.environment)
@@ -155,40 +169,40 @@
         self.observations.process_started_at = time.time()
         self.observations.stop_requested_at = 0.0
 
-    def _signal(self, number: signal.Signals) -> None:
+    def _send_signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    def _sample(self) -> None:
+    def _sample_descriptors(self) -> None:
         if self.process is None or self.process.poll() is not None:
             return
         try:
             count = len(os.listdir(f"/proc/{self.process.pid}/fd"))
         except OSError:
             return
-        self.result.descriptors = max(self.result.descriptors, count)
-        self.loop.call_after(SAMPLE_S, self._sample)
+        self.result.max_descriptors = max(self.result.max_descriptors, count)
+        self.loop.call_after(SAMPLE_INTERVAL_S, self._sample_descriptors)
 
     def _wait_until_ready(self, callers: Callers) -> bool:
-        deadline = time.time() + READY_S
-        while time.time() < deadline and not callers.well:
+        deadline = time.time() + READY_TIMEOUT_S
+        while time.time() < deadline and not callers.ready:
             if self.process is None or self.process.poll() is not None:
                 self.observations.add_problem("the process ended before it was ready")
                 return False
-            line = callers.connect()
-            if line is not None:
-                callers.test(line)
-                self.loop.run(lambda: callers.well, time.time() + 0.1)
-                callers.leave(line)
+            client = callers.connect()
+            if client is not None:
+                callers.send_options(client)
+                self.loop.run(lambda: callers.ready, time.time() + 0.1)
+                callers.close(client)
             else:
                 self.loop.run(lambda: False, time.time() + 0.02)
-        if not callers.well:
-            self.observations.add_problem("the process does not get ready")
-        return callers.well
+        if not callers.ready:
+            self.observations.add_problem("the process does not become ready")
+        return callers.ready
 
     # --- faults ---
 
-    def _hub_fault(self) -> None:
+    def _inject_hub_fault(self) -> None:
         if time.time() > self.faults_until:
             return
         hub = self.rng.choice(self.hubs)
@@ -197,138 +211,141 @@
                 hub.hang(True)
                 self.loop.call_after(self.rng.uniform(0.2, 2.0), lambda: hub.hang(False))
             case 1:
-                hub.die()
+                hub.crash()
                 self.loop.call_after(self.rng.uniform(0.05, 1.0), hub.start)
             case 2 if hub.connections:
                 hub.reset(self.rng.choice(hub.connections))
             case 3 if hub.connections:
-                on = self.rng.choice(hub.connections)
-                on.close()
-                hub.ended(on)
+                connection = self.rng.choice(hub.connections)
+                connection.close()
+                hub.connection_ended(connection)
             case 4:
                 hub.connect_delay_s = self.rng.uniform(0.0, 1.0)
                 self.loop.call_after(1.0, lambda: setattr(hub, "connect_delay_s", 0.0))
             case _:
-                self._drain(hub)
-        self.loop.call_after(self.rng.uniform(0.1, 0.7), self._hub_fault)
+                self._restart_hub(hub)
+        self.loop.call_after(self.rng.uniform(0.1, 0.7), self._inject_hub_fault)
 
-    def _tell(self, hub: Hub, state: str, since_ms: int = 0) -> None:
+    def _announce(self, hub: LabHub, state: str, since_ms: int = 0) -> None:
         change = HubStatusChange(hub.name, state, time.time())
         self.observations.changes.append(change)
-        self.events.add([self._row(hub, state, since_ms)], [change])
-        self.bus.tell()
+        self.events.add([self._endpoint_entry(hub, state, since_ms)], [change])
+        self.discovery_server.send_events()
 
-    def _drain(self, hub: Hub) -> None:
-        """It drains, its process is replaced, and it comes back."""
-        self._tell(hub, "draining")
+    def _restart_hub(self, hub: LabHub) -> None:
+        """Drains the hub, replaces its process and starts it again."""
+        self._announce(hub, "draining")
 
         def restart() -> None:
-            hub.die()
-            self._tell(hub, "removed")
-            self.loop.call_after(self.rng.uniform(0.1, 0.6), back)
+            hub.crash()
+            self._announce(hub, "removed")
+            self.loop.call_after(self.rng.uniform(0.1, 0.6), start_again)
 
-        def back() -> None:
+        def start_again() -> None:
             hub.start()
-            self._tell(hub, "up")
+            self._announce(hub, "up")
 
         self.loop.call_after(self.rng.uniform(0.5, 2.5), restart)
 
-    def _bus_fault(self) -> None:
+    def _inject_discovery_fault(self) -> None:
         if time.time() > self.faults_until:
             return
-        bus = self.bus
-        kind = self.rng.randrange(4)
-        if kind == 0:
-            bus.break_off()
-        elif kind == 1:
-            bus.down()
-        elif kind == 2:
-            bus.fall_silent()
+        server = self.discovery_server
+        fault = self.rng.randrange(4)
+        if fault == 0:
+            server.break_streams()
+        elif fault == 1:
+            server.stop()
+        elif fault == 2:
+            server.stop_responding()
         else:
-            bus.refusing = True
-            bus.break_off()
-        self.loop.call_after(self.rng.uniform(0.2, 2.0), bus.back)
-        self.loop.call_after(self.rng.uniform(2.2, 3.0), self._bus_fault)
+            server.refuses_requests = True
+            server.break_streams()
+        self.loop.call_after(self.rng.uniform(0.2, 2.0), server.recover)
+        self.loop.call_after(self.rng.uniform(2.2, 3.0), self._inject_discovery_fault)
 
-    def _reload(self) -> None:
+    def _reload_config(self) -> None:
         if time.time() > self.faults_until:
             return
         for number in range(self.rng.randint(1, 4)):
-            self.loop.call_after(number * 0.03, self._move)
-        self.loop.call_after(self.rng.uniform(0.8, 2.0), self._reload)
+            self.loop.call_after(number * 0.03, self._change_discovery_server)
+        self.loop.call_after(self.rng.uniform(0.8, 2.0), self._reload_config)
 
-    def _move(self) -> None:
-        self.bus = self.rng.choice(self.buses)
+    def _change_discovery_server(self) -> None:
+        self.discovery_server = self.rng.choice(self.discovery_servers)
         self._write_config()
-        self._signal(signal.SIGHUP)
-        self.bus.tell()
+        self._send_signal(signal.SIGHUP)
+        self.discovery_server.send_events()
 
-    # --- one life of the process ---
+    # --- one run of the process ---
 
-    def _live(self, last: bool) -> None:
+    def _run_process(self, last: bool) -> None:
         plan, observations = self.plan, self.observations
         callers = Callers(self.loop, self.rng, observations, self.port, [hub.number for hub in self.hubs])
         callers.deadlines_s = dict(zip(("voice", "data"), (d / 1000 for d in plan.deadlines_ms), strict=True))
-        self._start()
+        self._start_process()
         if not self._wait_until_ready(callers):
             return
-        self._sample()
-        callers.habits = HASTY if plan.hasty_callers else USUAL
+        self._sample_descriptors()
+        callers.behaviour = IMPATIENT_BEHAVIOUR if plan.impatient_callers else USUAL_BEHAVIOUR
         for hub in self.hubs:
-            hub.faults = ROUGH if plan.rough_hubs else CALM
+            hub.fault_rates = HIGH_FAULT_RATES if plan.faulty_hubs else DEFAULT_FAULT_RATES
         now = time.time()
-        self.faults_until = now + plan.lasts_s
+        self.faults_until = now + plan.duration_s
         callers.start()
         if plan.hub_faults:
-            self._hub_fault()
-        if plan.bus_faults:
-            self.loop.call_after(self.rng.uniform(0.2, 1.5), self._bus_fault)
+            self._inject_hub_fault()
+        if plan.discovery_faults:
+            self.loop.call_after(self.rng.uniform(0.2, 1.5), self._inject_discovery_fault)
         if plan.reloads:
-            self.loop.call_after(self.rng.uniform(0.1, 1.0), self._reload)
-        if plan.crowd:
-            self.loop.call_after(self.rng.uniform(0.2, plan.lasts_s), lambda: self._crowd(callers))
-        if plan.bad_callers:
+            self.loop.call_after(self.rng.uniform(0.1, 1.0), self._reload_config)
+        if plan.connection_burst:
+            self.loop.call_after(
+                self.rng.uniform(0.2, plan.duration_s), lambda: self._open_connection_burst(callers)
+            )
+        if plan.misbehaving_callers:
             for _ in range(20):
-                self.loop.call_after(self.rng.uniform(0.0, plan.lasts_s), callers.bad)
-        self.loop.run(self._gone, now + plan.lasts_s + (SETTLE_S if last else 0.0))
-        self._stop(callers)
+                self.loop.call_after(self.rng.uniform(0.0, plan.duration_s), callers.open_bad_connection)
+        self.loop.run(self._process_ended, now + plan.duration_s + (SETTLE_TIME_S if last else 0.0))
+        self._stop_process(callers)
 
-    def _crowd(self, callers: Callers) -> None:
-        crowd = min(self.plan.crowd, self.plan.sockets // 3 - callers.lines_most)  # callers hold no more
-        callers.lines_most += crowd
+    def _open_connection_burst(self, callers: Callers) -> None:
+        # Callers hold at most a third of the sockets.
+        count = min(self.plan.connection_burst, self.plan.sockets // 3 - callers.max_clients)
+        callers.max_clients += count
 
-        def come() -> None:
-            line = callers.connect()
-            if line is not None:
-                callers.set_up(line)
+        def open_one() -> None:
+            client = callers.connect()
+            if client is not None:
+                callers.send_set_up(client)
 
-        for _ in range(crowd):
-            self.loop.call_after(self.rng.uniform(0.0, CROWD_S), come)
+        for _ in range(count):
+            self.loop.call_after(self.rng.uniform(0.0, BURST_DURATION_S), open_one)
 
-    def _gone(self) -> bool:
+    def _process_ended(self) -> bool:
         return self.process is None or self.process.poll() is not None
 
-    def _stop(self, callers: Callers) -> None:
-        """SIGTERM, new connections for a while, open ones used until the earliest kill, then SIGKILL."""
-        if self.process is None or self._gone():
+    def _stop_process(self, callers: Callers) -> None:
+        """Sends SIGTERM, then SIGKILL at its earliest time; callers go on, with new connections at first."""
+        if self.process is None or self._process_ended():
             self.observations.add_problem(
                 f"the process ended by itself: {self.process and self.process.returncode}"
             )
             return
-        if self.plan.hang_at_stop:
+        if self.plan.hang_hubs_at_stop:
             for hub in self.hubs[: len(self.hubs) // 2 + 1]:
                 hub.hang(True)
-        stopped = self.observations.stop_requested_at = time.time()
-        kill = stopped + earliest_kill(max(self.plan.deadlines_ms) / 1000)
-        self._signal(signal.SIGTERM)
+        stop_requested_at = self.observations.stop_requested_at = time.time()
+        kill_at = stop_requested_at + earliest_kill(max(self.plan.deadlines_ms) / 1000)
+        self._send_signal(signal.SIGTERM)
         for _ in range(self.rng.randint(0, 3)):
             number = self.rng.choice((signal.SIGTERM, signal.SIGHUP, signal.SIGINT))
-            self.loop.call_after(self.rng.uniform(0.0, 0.5), lambda n=number: self._signal(n))  # type: ignore[misc]
+            self.loop.call_after(self.rng.uniform(0.0, 0.5), lambda n=number: self._send_signal(n))  # type: ignore[misc]
         self.loop.call_after(self.rng.uniform(0.2, 0.4), lambda: setattr(callers, "connecting", False))
-        self.loop.run(self._gone, kill)
-        callers.calling = False
-        if self._gone():
-            self.result.exits_ms.append((time.time() - stopped) * 1000)
+        self.loop.run(self._process_ended, kill_at)
+        callers.sending = False
+        if self._process_ended():
+            self.result.exits_ms.append((time.time() - stop_requested_at) * 1000)
             if self.process.returncode:
                 self.observations.add_problem(
                     f"the process ended with {self.process.returncode} after SIGTERM"
@@ -338,37 +355,38 @@
         self.process.wait()
         self.observations.program_ended_at = time.time()
         self.loop.run(lambda: False, time.time() + 0.1)
-        for line in callers.lines:
-            line.connection.close()
-        callers.lines.clear()
-        self._forgive(stopped, kill)
+        for client in callers.clients:
+            client.connection.close()
+        callers.clients.clear()
+        self._exempt_killed_set_ups(stop_requested_at, kill_at)
         for hub in self.hubs:
             hub.hang(False)
 
-    def _forgive(self, stopped: float, kill: float) -> None:
-        """What the kill finds unanswered is lost if it came late after SIGTERM, or if its time was up."""
-        for one in self.observations.requests.values():
-            if one.final_responses or one.cancelled_at:
+    def _exempt_killed_set_ups(self, stop_at: float, kill_at: float) -> None:
+        """Exempts set-ups that SIGKILL cut off, except those sent late after SIGTERM or past their time."""
+        for set_up in self.observations.requests.values():
+            if set_up.final_responses or set_up.cancelled_at:
                 continue
-            killed = self.observations.program_ended_at >= kill
-            if killed and kill < one.deadline and one.written_at <= stopped + KILL_MARGIN_S:
-                one.exemption = "its time was not up at the kill"
+            killed = self.observations.program_ended_at >= kill_at
+            if killed and kill_at < set_up.deadline and set_up.written_at <= stop_at + KILL_MARGIN_S:
+                set_up.exemption = "its deadline had not passed at the kill"
 
-    def play(self) -> Result:
+    def run(self) -> TrialResult:
+        """Starts and stops the process as often as planned and checks the rules after each run."""
         for number in range(self.plan.starts):
-            self._live(last=number == self.plan.starts - 1)
+            self._run_process(last=number == self.plan.starts - 1)
             self.observations.max_lag_s = self.loop.max_lag_s
-            self.result.lag_ms = self.loop.max_lag_s * 1000
-            self.result.broken += check_rules(self.observations)
-            done, self.observations.requests = self.observations.requests, {}
+            self.result.max_lag_ms = self.loop.max_lag_s * 1000
+            self.result.violations += check_rules(self.observations)
+            finished, self.observations.requests = self.observations.requests, {}
             self.observations.attempts.clear()
             self.observations.problems.clear()
-            self.observations.unanswered_bad_callers = 0
-            self.result.sent += sum(one.written_at > 0 for one in done.values())
-            self.result.answered += sum(bool(one.final_responses) for one in done.values())
-            self.result.stood += sum(one.established for one in done.values())
-        if self.result.descriptors > self.plan.sockets:
-            self.result.broken.append(f"{self.result.descriptors} descriptors of {self.plan.sockets}")
+            self.observations.unanswered_misbehaving_callers = 0
+            self.result.sent += sum(set_up.written_at > 0 for set_up in finished.values())
+            self.result.answered += sum(bool(set_up.final_responses) for set_up in finished.values())
+            self.result.established += sum(set_up.established for set_up in finished.values())
+        if self.result.max_descriptors > self.plan.sockets:
+            self.result.violations.append(f"{self.result.max_descriptors} descriptors of {self.plan.sockets}")
         return self.result
 
     def end(self) -> None:
@@ -378,16 +396,17 @@
         self.loop.close()
 
 
-def play(plan: Plan) -> Result:
+def run_trial(plan: TrialPlan) -> TrialResult:
+    """Runs one trial in a temporary folder; a traceback in the log counts as a broken rule."""
     with tempfile.TemporaryDirectory() as folder:
         trial = Trial(plan, Path(folder))
         try:
-            result = trial.play()
+            result = trial.run()
         finally:
             trial.end()
         log = Path(folder) / "log"
         result.log = log.read_text(errors="replace") if log.exists() else ""
     if "Traceback" in result.log:
         at = result.log.find("Traceback")
-        result.broken.append("a traceback in the log: " + result.log[at : at + 600])
+        result.violations.append("a traceback in the log: " + result.log[at : at + 600])
     return result
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -24,8 +24,7 @@
 from landingdeal.core import steps
 from landingdeal.core.events import Unreadable, Why
 from landingdeal.core.lifecycle import Held, Idler, Lifecycle, Phase, Times, may_go, spare, times_before_kill
-from landingdeal.lab.trial.trial import Plan as TrialPlan
-from landingdeal.lab.trial.trial import play
+from landingdeal.lab.trial.trial import TrialPlan, run_trial
 from landingdeal.sip.message import encode, request
 from tests.rig.front import Front, Gate
 from tests.rig.restarts import END_S, Plan, Stage, play_round
@@ -378,11 +377,18 @@
 @pytest.mark.parametrize("deadline_ms", [600.0, 1200.0])
 def test_a_stop_with_short_deadlines_and_hung_hubs_leaves_no_set_up_unanswered(deadline_ms: float) -> None:
     trial_plan = TrialPlan(
-        7, rough_hubs=False, bad_callers=False, hub_faults=False, bus_faults=False, reloads=False
+        7,
+        faulty_hubs=False,
+        misbehaving_callers=False,
+        hub_faults=False,
+        discovery_faults=False,
+        reloads=False,
     )
-    plan = replace(trial_plan, deadlines_ms=(deadline_ms, deadline_ms), lasts_s=1.0, hang_at_stop=True)
-    result = play(plan)
-    assert not result.broken, "\n".join(result.broken)
+    plan = replace(
+        trial_plan, deadlines_ms=(deadline_ms, deadline_ms), duration_s=1.0, hang_hubs_at_stop=True
+    )
+    result = run_trial(plan)
+    assert not result.violations, "\n".join(result.violations)
     assert len(result.exits_ms) == plan.starts, "killed"
 
 
