--- a/landingdeal/lab/answerer.py
+++ b/landingdeal/lab/answerer.py
@@ -1,4 +1,4 @@
-"""A stand-in for whoever is called: answers INVITEs over UDP and TCP as told, and counts what it sees."""
+"""A stub SIP user agent: answers INVITEs over UDP and TCP as configured and counts what it receives."""
 
 from __future__ import annotations
 
@@ -16,43 +16,47 @@
 from landingdeal.lab.ports import free_port
 from landingdeal.sip.message import Framer, Message, decode_datagram, encode, request, response
 
-Put = Callable[[Message], None]
+Send = Callable[[Message], None]
 
 
 @dataclass
-class Behaviour:
-    """`refuse` says the status for a number called (0: it is answered). Times in milliseconds."""
+class StubBehaviour:
+    """How the stub answers. `refusal_status` maps a called number to a status; 0: the call is answered."""
 
-    refuse: Callable[[str], int] = lambda user: 0
+    refusal_status: Callable[[str], int] = lambda user: 0
     ring_ms: float = 0.0
     answer_ms: float = 5.0
-    ends_after_ms: float = -1.0  # its own BYE; -1: it waits for the other side's
-    silent_after: int = -1  # INVITEs after which it says nothing more
+    hang_up_after_ms: float = -1.0  # from its answer to its own BYE; -1: it waits for the other side's BYE
+    silent_after_invites: int = -1  # it ignores new INVITEs after so many; -1: none
 
 
 @dataclass
-class Seen:
-    invites: Counter[str] = field(default_factory=Counter)  # by Call-ID, repeats included
-    at: dict[str, float] = field(default_factory=dict)
+class ReceivedRequests:
+    """The requests that the stub received, by Call-ID."""
+
+    invites: Counter[str] = field(default_factory=Counter)  # retransmissions included
+    first_invite_at: dict[str, float] = field(default_factory=dict)  # on the monotonic clock, in seconds
     acks: Counter[str] = field(default_factory=Counter)
     byes: Counter[str] = field(default_factory=Counter)
     cancels: Counter[str] = field(default_factory=Counter)
-    classes: dict[str, str] = field(default_factory=dict)
+    classes: dict[str, str] = field(default_factory=dict)  # Subject of the INVITE
+
 
+class StubUserAgent:
+    """A SIP user agent on a thread of its own, listening on one port for UDP and TCP."""
 
-class Answerer:
-    def __init__(self, behaviour: Behaviour) -> None:
-        self.behaviour, self.seen = behaviour, Seen()
+    def __init__(self, behaviour: StubBehaviour) -> None:
+        self.behaviour, self.received = behaviour, ReceivedRequests()
         self.udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.port = free_port()
         self.udp.bind(("127.0.0.1", self.port))
         self.tcp = socket.create_server(("127.0.0.1", self.port))
         self.selector = selectors.DefaultSelector()
-        self.selector.register(self.udp, selectors.EVENT_READ, self._datagrams)
+        self.selector.register(self.udp, selectors.EVENT_READ, self._receive_datagram)
         self.selector.register(self.tcp, selectors.EVENT_READ, self._accept)
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = itertools.count()
-        self.finals: dict[str, Message] = {}
+        self.timer_numbers = itertools.count()
+        self.final_responses: dict[str, Message] = {}
         self.stopped = False
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
@@ -66,94 +70,102 @@
                 with contextlib.suppress(OSError):
                     heapq.heappop(self.timers)[2]()
 
-    def _datagrams(self) -> None:
+    def _receive_datagram(self) -> None:
         data, peer = self.udp.recvfrom(65536)
         message = decode_datagram(data)
         assert isinstance(message, Message)
 
-        def put(made: Message) -> None:
-            self.udp.sendto(encode(made), peer)
+        def send(reply: Message) -> None:
+            self.udp.sendto(encode(reply), peer)
 
-        self._message(message, put)
+        self._handle_request(message, send)
 
     def _accept(self) -> None:
         sock, _ = self.tcp.accept()
         framer = Framer()
 
-        def ready() -> None:
+        def on_readable() -> None:
             with contextlib.suppress(OSError):
                 if data := sock.recv(65536):
                     for message in framer.feed(data):
                         assert isinstance(message, Message)
-                        self._message(message, lambda made: sock.sendall(encode(made)))
+                        self._handle_request(message, lambda reply: sock.sendall(encode(reply)))
                     return
             self.selector.unregister(sock)
             sock.close()
 
-        self.selector.register(sock, selectors.EVENT_READ, ready)
+        self.selector.register(sock, selectors.EVENT_READ, on_readable)
 
-    def _later(self, ms: float, work: Callable[[], None]) -> None:
-        heapq.heappush(self.timers, (time.monotonic() + ms / 1000, next(self.order), work))
+    def _call_after(self, ms: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.timers, (time.monotonic() + ms / 1000, next(self.timer_numbers), callback))
 
-    def _message(self, message: Message, put: Put) -> None:
-        call, seen = message.call_id, self.seen
+    def _handle_request(self, message: Message, send: Send) -> None:
+        call_id, received = message.call_id, self.received
         match message.method:
             case "INVITE":
-                seen.invites[call] += 1
-                if call in seen.at:
-                    if call in self.finals:
-                        put(self.finals[call])
+                received.invites[call_id] += 1
+                if call_id in received.first_invite_at:
+                    if call_id in self.final_responses:
+                        send(self.final_responses[call_id])
                     return
-                seen.at[call] = time.monotonic()
-                seen.classes[call] = message.get("subject")
-                if 0 <= self.behaviour.silent_after < len(seen.at):
+                received.first_invite_at[call_id] = time.monotonic()
+                received.classes[call_id] = message.get("subject")
+                if 0 <= self.behaviour.silent_after_invites < len(received.first_invite_at):
                     return
-                put(response(message, 100))
+                send(response(message, 100))
                 if self.behaviour.ring_ms:
-                    self._later(self.behaviour.ring_ms, lambda: put(self._tagged(message, 180)))
-                self._later(self.behaviour.answer_ms, lambda: self._final(message, put))
+                    self._call_after(
+                        self.behaviour.ring_ms, lambda: send(self._response_with_tag(message, 180))
+                    )
+                self._call_after(self.behaviour.answer_ms, lambda: self._send_final_response(message, send))
             case "ACK":
-                seen.acks[call] += 1
+                received.acks[call_id] += 1
             case "BYE":
-                seen.byes[call] += 1
-                put(response(message, 200))
+                received.byes[call_id] += 1
+                send(response(message, 200))
             case "CANCEL":
-                seen.cancels[call] += 1
-                put(response(message, 200))
+                received.cancels[call_id] += 1
+                send(response(message, 200))
             case "OPTIONS":
-                put(response(message, 200))
+                send(response(message, 200))
             case _:
                 pass
 
     @staticmethod
-    def _tagged(to: Message, status: int, *more: tuple[str, str], body: bytes = b"") -> Message:
-        made = response(to, status, *more, body=body)
-        headers = tuple((k, f"{v};tag=a" if k == "to" and ";tag=" not in v else v) for k, v in made.headers)
-        return Message(status=status, reason_phrase=made.reason_phrase, headers=headers, body=body)
-
-    def _final(self, invite: Message, put: Put) -> None:
-        call = invite.call_id
-        if self.seen.cancels[call]:
+    def _response_with_tag(
+        invite: Message, status: int, *extra_headers: tuple[str, str], body: bytes = b""
+    ) -> Message:
+        reply = response(invite, status, *extra_headers, body=body)
+        headers = tuple((k, f"{v};tag=a" if k == "to" and ";tag=" not in v else v) for k, v in reply.headers)
+        return Message(status=status, reason_phrase=reply.reason_phrase, headers=headers, body=body)
+
+    def _send_final_response(self, invite: Message, send: Send) -> None:
+        call_id = invite.call_id
+        if self.received.cancels[call_id]:
             status = 487
         else:
-            status = self.behaviour.refuse(invite.uri.removeprefix("sip:").partition("@")[0]) or 200
+            status = self.behaviour.refusal_status(invite.uri.removeprefix("sip:").partition("@")[0]) or 200
         contact = ("contact", f"<sip:answerer@127.0.0.1:{self.port}>")
-        more = [contact] if status < 300 else [("retry-after", "1")] if status == 503 else []
-        self.finals[call] = made = self._tagged(
-            invite, status, *more, body=invite.body if status < 300 else b""
+        extra_headers = [contact] if status < 300 else [("retry-after", "1")] if status == 503 else []
+        self.final_responses[call_id] = final_response = self._response_with_tag(
+            invite, status, *extra_headers, body=invite.body if status < 300 else b""
         )
-        put(made)
-        if status < 300 and self.behaviour.ends_after_ms >= 0:
-            self._later(self.behaviour.ends_after_ms, lambda: put(self._bye(invite, made)))
-
-    def _bye(self, invite: Message, final: Message) -> Message:
-        target = invite.get("contact").strip("<>")
+        send(final_response)
+        if status < 300 and self.behaviour.hang_up_after_ms >= 0:
+            self._call_after(
+                self.behaviour.hang_up_after_ms, lambda: send(self._build_bye(invite, final_response))
+            )
+
+    def _build_bye(self, invite: Message, final_response: Message) -> Message:
+        contact = invite.get("contact").strip("<>")
         via = f"SIP/2.0/UDP 127.0.0.1:{self.port};branch=z9hG4bK{invite.call_id}e"
-        return request("BYE", target, ("via", via),
-                       ("max-forwards", "70"), ("from", final.get("to")), ("to", final.get("from")),
+        return request("BYE", contact, ("via", via),
+                       ("max-forwards", "70"),
+                       ("from", final_response.get("to")), ("to", final_response.get("from")),
                        ("call-id", invite.call_id), ("cseq", "1 BYE"))  # fmt: skip
 
     def end(self) -> None:
+        """Stops the thread and closes all sockets."""
         self.stopped = True
         self.thread.join(5)
         for key in list(self.selector.get_map().values()):
--- a/landingdeal/lab/demo.py
+++ b/landingdeal/lab/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: the SIP front, two stand-in lab hubs, and a capture made here offered as load."""
+"""The demonstration: the SIP side of the program, two stub hubs, and a sample capture offered as load."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 from landingdeal.capture.sample import capture_file, packets, traffic
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
-from landingdeal.lab.answerer import Answerer, Behaviour
+from landingdeal.lab.answerer import StubBehaviour, StubUserAgent
 
-START_MS = 10_000.0
-OPERATOR = """
+START_TIMEOUT_MS = 10_000.0
+OPERATOR_FILE = """
 [sip]
 enabled = true
 listen = "127.0.0.1:{port}"
@@ -95,7 +95,7 @@
 
 
 def free_port() -> int:
-    """One that UDP and TCP can both have."""
+    """Returns a port that is free for both UDP and TCP."""
     while True:
         with socket.create_server(("127.0.0.1", 0)) as tcp, socket.socket(type=socket.SOCK_DGRAM) as udp:
             port: int = tcp.getsockname()[1]
@@ -105,22 +105,22 @@
 
 
 @contextlib.contextmanager
-def front(folder: Path, hubs: tuple[int, int], extra: str = "") -> Iterator[int]:
-    """The program with the SIP front on a free port, started and ended; its log is in the folder."""
+def running_program(folder: Path, hub_ports: tuple[int, int], extra_sections: str = "") -> Iterator[int]:
+    """Runs the program with its SIP side on a free port and yields the port; the log is in the folder."""
     port = free_port()
-    path = folder / "operator.toml"
-    path.write_text(
-        OPERATOR.format(port=port, first=hubs[0], second=hubs[1]).replace(
-            "[[sip.hub]]", extra + "[[sip.hub]]", 1
+    operator_path = folder / "operator.toml"
+    operator_path.write_text(
+        OPERATOR_FILE.format(port=port, first=hub_ports[0], second=hub_ports[1]).replace(
+            "[[sip.hub]]", extra_sections + "[[sip.hub]]", 1
         )
     )
     env = {key: value for key, value in os.environ.items() if key != "ROUTER_CONFIG"}
     with (folder / "log").open("wb") as log:
-        command = [sys.executable, "-m", "landingdeal", "--operator", str(path)]
+        command = [sys.executable, "-m", "landingdeal", "--operator", str(operator_path)]
         program = subprocess.Popen(command, env=env, stderr=log)
         try:
-            until = now_ms() + START_MS
-            while now_ms() < until and program.poll() is None:
+            deadline_ms = now_ms() + START_TIMEOUT_MS
+            while now_ms() < deadline_ms and program.poll() is None:
                 with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port)):
                     break
                 time.sleep(seconds_until(now_ms() + 20))
@@ -129,44 +129,52 @@
             yield port
         finally:
             program.send_signal(signal.SIGTERM)
-            until = now_ms() + START_MS
-            while program.poll() is None and now_ms() < until:
+            deadline_ms = now_ms() + START_TIMEOUT_MS
+            while program.poll() is None and now_ms() < deadline_ms:
                 time.sleep(seconds_until(now_ms() + 20))
             program.kill()
             program.wait()
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
+class DemonstrationResult:
+    """The report of the replay, the number of planned calls and a table row per call."""
+
     report: Report
     planned: int
     table: list[dict[str, Any]]
 
     @property
     def unanswered(self) -> list[Result]:
+        """The last tries that did not get exactly one final answer."""
         return [result for result in last_tries(self.report) if result.finals != 1]
 
 
-def demonstrate(calls: int = 40, per_s: float = 20.0, seed: int = 1) -> Shown:
-    """Raises ConfigError where the program does not start."""
-    hubs = [Answerer(Behaviour(ring_ms=5.0, answer_ms=25.0, refuse=refuses)) for _ in range(2)]
+def demonstrate(calls: int = 40, per_s: float = 20.0, seed: int = 1) -> DemonstrationResult:
+    """Replays a sample capture against the program. Raises ConfigError if the program does not start."""
+    hubs = [
+        StubUserAgent(StubBehaviour(ring_ms=5.0, answer_ms=25.0, refusal_status=busy_status))
+        for _ in range(2)
+    ]
     try:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             capture = folder / "sample.pcapng"
-            made = traffic(Traffic(calls, per_s, hold_ms=(300.0, 1500.0)), seed)
-            capture.write_bytes(capture_file(packets(made), PcapngFile()))
-            table = Calls()
-            found = [call for seen in read([str(capture)], Reading()) for call in table.feed(seen)]
-            planned = plan([*found, *table.end()], Shape(linger_ms=0.0), Left({}))
-            with front(folder, (hubs[0].port, hubs[1].port)) as port:
+            sample_calls = traffic(Traffic(calls, per_s, hold_ms=(300.0, 1500.0)), seed)
+            capture.write_bytes(capture_file(packets(sample_calls), PcapngFile()))
+            call_table = Calls()
+            recorded_calls = [
+                call for seen in read([str(capture)], Reading()) for call in call_table.feed(seen)
+            ]
+            planned = plan([*recorded_calls, *call_table.end()], Shape(linger_ms=0.0), Left({}))
+            with running_program(folder, (hubs[0].port, hubs[1].port)) as port:
                 report = Replay(planned, ("127.0.0.1", port), Shape()).run()
     finally:
         for hub in hubs:
             hub.end()
-    return Shown(report, len(planned), list(rows(report)))
+    return DemonstrationResult(report, len(planned), list(rows(report)))
 
 
-def refuses(user: str) -> int:
-    """One number in ten is busy."""
+def busy_status(user: str) -> int:
+    """Refuses one called number in ten as busy."""
     return 486 if user.endswith("7") else 0
--- a/landingdeal/lab/ports.py
+++ b/landingdeal/lab/ports.py
@@ -1,4 +1,4 @@
-"""Ports for stand-ins on loopback, below the range from which the system takes ports of its own."""
+"""Ports for test peers on loopback, below the range from which the kernel takes ephemeral ports."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 import socket
 from contextlib import suppress
 
-FIRST, SPAN, COUNT = 10000, 100, 220  # each process begins in a span of its own, as far as there are any
+# Each process starts in a block of ports of its own, as long as there are enough blocks.
+FIRST_PORT, PORTS_PER_BLOCK, BLOCKS = 10000, 100, 220
 
 _ports = itertools.cycle(
-    range(FIRST + os.getpid() % COUNT * SPAN, FIRST + COUNT * SPAN),
+    range(FIRST_PORT + os.getpid() % BLOCKS * PORTS_PER_BLOCK, FIRST_PORT + BLOCKS * PORTS_PER_BLOCK),
 )
 
 
 def free_port() -> int:
-    """Free for UDP and TCP at this moment, and no connection's own: only a listener can take it."""
-    for port in itertools.islice(_ports, COUNT * SPAN):
+    """Returns a port free for UDP and TCP now; the kernel gives it to no connection, only to a listener."""
+    for port in itertools.islice(_ports, BLOCKS * PORTS_PER_BLOCK):
         with suppress(OSError), socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp:
             udp.bind(("127.0.0.1", port))
             with socket.create_server(("127.0.0.1", port)):
--- a/landingdeal/lab/trial/bus.py
+++ b/landingdeal/lab/trial/bus.py
@@ -25,9 +25,11 @@
     def known(self) -> dict[str, Any]:
         return {"offset": len(self.events), "batch": [event for event, _ in self.events]}
 
-    def add(self, rows: list[dict[str, Any]], changes: list[HubStatusChange], snapshot: bool = False) -> None:
+    def add(
+        self, endpoints: list[dict[str, Any]], changes: list[HubStatusChange], snapshot: bool = False
+    ) -> None:
         offset = len(self.events) + 1
-        topology = {"index": offset, "snapshot": snapshot, "endpoints": rows}
+        topology = {"index": offset, "snapshot": snapshot, "endpoints": endpoints}
         self.events.append(({"offset": offset, "topology": topology}, changes))
 
 
--- a/landingdeal/lab/trial/callers.py
+++ b/landingdeal/lab/trial/callers.py
@@ -139,14 +139,14 @@
         self.loop.call_after(self.rng.expovariate(self.set_ups_per_s), self._send_next)
 
     def place_call(self) -> None:
-        free = [
+        available = [
             client for client in self.clients if not client.writing_in_pieces and not client.connection.ended
         ]
         client: ClientConnection | None = None
-        if self.connecting and (len(self.clients) < self.max_clients or not free):
+        if self.connecting and (len(self.clients) < self.max_clients or not available):
             client = self.connect()
-        if client is None and free:
-            client = self.rng.choice(free)
+        if client is None and available:
+            client = self.rng.choice(available)
         if client is None:
             return
         self.send_set_up(client)
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -18,8 +18,8 @@
 from landingdeal.capture.rewrite import Scrubber, written
 from landingdeal.capture.sample import SDP, capture_file, packets, traffic
 from landingdeal.capture.sample import Shape as Traffic
-from landingdeal.lab.answerer import Answerer, Behaviour
-from landingdeal.lab.demo import front
+from landingdeal.lab.answerer import StubBehaviour, StubUserAgent
+from landingdeal.lab.demo import running_program
 from landingdeal.sip.message import Message, request
 from tests.test_commands import landingdeal
 
@@ -102,10 +102,10 @@
     source, ours = tmp_path / "in.pcap", tmp_path / "ours.pcapng"
     shape = Traffic(30, 40.0, transport=transport, refused=0.0, withdrawn=0.0, hold_ms=(50.0, 200.0))
     source.write_bytes(capture_file(packets(traffic(shape)), PcapFile()))
-    hubs = [Answerer(Behaviour(ring_ms=2.0, answer_ms=10.0)) for _ in range(2)]
+    hubs = [StubUserAgent(StubBehaviour(ring_ms=2.0, answer_ms=10.0)) for _ in range(2)]
     planned = plan(calls_in(source), Shape(linger_ms=0.0), Left({}))
     extra = f'[sip.capture]\nwrite = "{ours}"\n'
-    with front(tmp_path, (hubs[0].port, hubs[1].port), extra) as port:
+    with running_program(tmp_path, (hubs[0].port, hubs[1].port), extra) as port:
         report = Replay(planned, ("127.0.0.1", port), Shape()).run()
     for hub in hubs:
         hub.end()
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -32,7 +32,7 @@
 from landingdeal.capture.sample import Shape as Traffic
 from landingdeal.capture.sample import capture_file, packets, traffic
 from landingdeal.errors import ConfigError
-from landingdeal.lab.answerer import Answerer, Behaviour
+from landingdeal.lab.answerer import StubBehaviour, StubUserAgent
 from landingdeal.lab.ports import free_port
 from tests.scenario import PATIENCE_S, ROOT
 
@@ -52,9 +52,11 @@
 
 
 @pytest.fixture
-def answerer(calls: list[CallRecord]) -> Iterator[Answerer]:
+def answerer(calls: list[CallRecord]) -> Iterator[StubUserAgent]:
     refused = {call.called for call in calls if call.outcome is Outcome.REFUSED}
-    made = Answerer(Behaviour(refuse=lambda user: 503 if user in refused else 0, ring_ms=1.0))
+    made = StubUserAgent(
+        StubBehaviour(refusal_status=lambda user: 503 if user in refused else 0, ring_ms=1.0)
+    )
     yield made
     made.end()
 
@@ -186,11 +188,11 @@
 
 
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
-def test_the_same_calls_come_out(transport: str, calls: list[CallRecord], answerer: Answerer) -> None:
+def test_the_same_calls_come_out(transport: str, calls: list[CallRecord], answerer: StubUserAgent) -> None:
     made = plan(calls, Shape(transport=transport), Left({}))
     told = summary(offer(made, answerer.port).report)
     assert told["calls"] == told["same"] == 25 and not told["errors"] and not told["twice_answered"]
-    seen = answerer.seen
+    seen = answerer.received
     assert set(seen.invites.values()) == {1} and len(seen.invites) == len(seen.acks) == 25
     assert len(seen.byes) == told["outcomes"]["stood"] and set(seen.byes.values()) == {1}
     by_class = {name: sum(call.class_name == name for call in calls) for name in QUICK.classes}
@@ -200,44 +202,44 @@
 def test_the_other_side_ends_its_calls_and_withdrawn_ones_are_cancelled(tmp_path: Path) -> None:
     shape = replace(QUICK, calls=10, withdrawn=0.3, refused=0.0, called_ends=1.0)
     calls = calls_of(tmp_path / "c", shape)
-    answerer = Answerer(Behaviour(ring_ms=1.0, answer_ms=100.0, ends_after_ms=30.0))
+    answerer = StubUserAgent(StubBehaviour(ring_ms=1.0, answer_ms=100.0, hang_up_after_ms=30.0))
     engine = offer(plan(calls, Shape(linger_ms=5000.0), Left({})), answerer.port)
     answerer.end()
     results = last_tries(engine.report)
     assert [r.outcome for r in results] == [r.offered.recorded_outcome for r in results]
     stood = [r for r in results if r.outcome is Outcome.STOOD]
-    assert stood and {r.ended_by for r in stood} == {"them"} and not answerer.seen.byes
-    assert len(answerer.seen.cancels) == len(results) - len(stood) > 0
+    assert stood and {r.ended_by for r in stood} == {"them"} and not answerer.received.byes
+    assert len(answerer.received.cancels) == len(results) - len(stood) > 0
 
 
 def test_refused_calls_are_tried_again_within_the_budget(calls: list[CallRecord]) -> None:
-    answerer = Answerer(Behaviour(refuse=lambda user: 486))
+    answerer = StubUserAgent(StubBehaviour(refusal_status=lambda user: 486))
     shape = Shape(retries=Policy.MODEL)
     model = Model(most=2, pause_ms=50.0, least_ms=20.0, budget=0.4)
     engine = offer(plan(calls, shape, Left({})), answerer.port, shape, model=model)
     answerer.end()
     told = summary(engine.report)
-    assert told["retries"] == 10 and told["retries_denied"] > 0 and len(answerer.seen.invites) == 35
+    assert told["retries"] == 10 and told["retries_denied"] > 0 and len(answerer.received.invites) == 35
     assert told["calls"] == 25 and told["outcomes"] == {"refused": 25}
 
 
 def test_what_passes_the_limits_is_shed_and_reported(calls: list[CallRecord]) -> None:
-    answerer = Answerer(Behaviour(answer_ms=400.0))
+    answerer = StubUserAgent(StubBehaviour(answer_ms=400.0))
     made = [replace(one, at_ms=one.at_ms / 20) for one in plan(calls, Shape(), Left({}))]
     engine = offer(made, answerer.port, limits=Limits(outstanding=10))
     answerer.end()
     told = summary(engine.report)
     assert told["shed"] == {"too many calls without an answer": 15} and told["calls"] == 25
-    assert len(answerer.seen.invites) == 10
+    assert len(answerer.received.invites) == 10
 
 
 def test_a_peer_that_falls_silent_shifts_no_arrival(calls: list[CallRecord]) -> None:
-    answerer = Answerer(Behaviour(silent_after=5))
+    answerer = StubUserAgent(StubBehaviour(silent_after_invites=5))
     made = [replace(one, patience_ms=200.0) for one in plan(calls, Shape(), Left({}))]
     engine = Replay(made, ("127.0.0.1", answerer.port), Shape(), t1_ms=10.0)
     began = time.monotonic()
     told = summary(engine.run())
-    arrivals = answerer.seen.at.values()
+    arrivals = answerer.received.first_invite_at.values()
     answerer.end()
     assert told["calls"] == 25 and told["outcomes"]["unanswered"] >= 18 and time.monotonic() - began < 5
     assert max(arrivals) - min(arrivals) < made[-1].at_ms / 1000 + 0.5
@@ -307,20 +309,20 @@
 def test_a_killed_replay_goes_on_without_offering_a_call_twice(tmp_path: Path) -> None:
     capture, state = tmp_path / "c.pcap", tmp_path / "state"
     calls_of(capture, replace(QUICK, calls=120))
-    answerer = Answerer(Behaviour(ring_ms=1.0))
+    answerer = StubUserAgent(StubBehaviour(ring_ms=1.0))
     command = [sys.executable, "-m", "landingdeal", "capture", "replay", str(capture), "--to",
                f"127.0.0.1:{answerer.port}", "--state", str(state), "--json", "--t1-ms", "100"]  # fmt: skip
     first = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL)
     until = time.monotonic() + PATIENCE_S
-    while len(answerer.seen.invites) < 30 and time.monotonic() < until:
+    while len(answerer.received.invites) < 30 and time.monotonic() < until:
         time.sleep(0.01)
     first.send_signal(signal.SIGKILL)
     first.wait()
-    before = len(answerer.seen.invites)
+    before = len(answerer.received.invites)
     second = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
     answerer.end()
     told = json.loads(second.stdout)
-    assert 30 <= before < 120 and set(answerer.seen.invites.values()) == {1}
+    assert 30 <= before < 120 and set(answerer.received.invites.values()) == {1}
     assert told["skipped"] + told["calls"] == 120 and told["skipped"] >= before
-    assert len(answerer.seen.invites) == before + told["calls"]
+    assert len(answerer.received.invites) == before + told["calls"]
     assert 0 < told["left_in_flight"] <= told["skipped"]
