--- a/tests/rig/front.py
+++ b/tests/rig/front.py
@@ -1,4 +1,4 @@
-"""The callers' side of the platform's front in this process, with the core's part played by the test."""
+"""Runs the program's connections to callers in this process; the test plays the part of the core."""
 
 from __future__ import annotations
 
@@ -18,57 +18,58 @@
 from tests.scenario import BODY, PATIENCE_S, SETTINGS
 
 
-class Gate:
-    """Holds the first thread that comes to a step, until it is let go."""
+class StepGate:
+    """Pauses the first thread that reaches a step of the program until `released` is set."""
 
     def __init__(self, step: str) -> None:
-        self.step, self.came, self.go = step, threading.Event(), threading.Event()
-        self.once = threading.Lock()
-        steps.hold = self._at
+        self.step, self.reached, self.released = step, threading.Event(), threading.Event()
+        self.first_only = threading.Lock()
+        steps.hold = self._pause
 
-    def _at(self, step: str) -> None:
-        if step == self.step and self.once.acquire(blocking=False):
-            self.came.set()
-            self.go.wait(PATIENCE_S)
+    def _pause(self, step: str) -> None:
+        if step == self.step and self.first_only.acquire(blocking=False):
+            self.reached.set()
+            self.released.wait(PATIENCE_S)
 
-    def held(self) -> None:
-        assert self.came.wait(PATIENCE_S), f"nobody comes to {self.step}"
+    def wait_until_reached(self) -> None:
+        assert self.reached.wait(PATIENCE_S), f"no thread reaches step {self.step}"
 
 
-class Front:
-    """The callers' side in this process, with the core's part played by the test."""
+class CallerHarness:
+    """The program's connections to callers with a test connection; the test takes events from the inbox."""
 
     def __init__(self) -> None:
         self.inbox, self.life = Inbox(), Lifecycle()
         settings = read_settings(json.dumps(SETTINGS).encode())
         self.callers = CallerConnections(settings, self.inbox, "127.0.0.1", free_port(), 1024, self.life)
-        self.where = self.callers.acceptor.listener.getsockname()
-        self.sock = socket.create_connection(self.where)
+        self.address = self.callers.acceptor.listener.getsockname()
+        self.sock = socket.create_connection(self.address)
         self.sock.settimeout(PATIENCE_S)
 
-    def set_up(self, call: str = "a") -> None:
+    def send_set_up(self, call_id: str = "a") -> None:
         self.sock.sendall(encode(request(
-            "INVITE", f"sip:{call}@net", ("via", "SIP/2.0/TCP peer"), ("call-id", call), ("cseq", "1 INVITE"),
-            ("subject", "voice"), ("x-patience", "3000"), ("x-facts", "dest:1;width:1;via:-1"), body=BODY,
+            "INVITE", f"sip:{call_id}@net", ("via", "SIP/2.0/TCP peer"), ("call-id", call_id),
+            ("cseq", "1 INVITE"), ("subject", "voice"), ("x-patience", "3000"),
+            ("x-facts", "dest:1;width:1;via:-1"), body=BODY,
         )))  # fmt: skip
 
-    def offered(self) -> Offer:
-        until = now_ms() + PATIENCE_S * 1000
-        (event,) = list(self.inbox.take(until))
+    def next_offer(self) -> Offer:
+        deadline_ms = now_ms() + PATIENCE_S * 1000
+        (event,) = list(self.inbox.take(deadline_ms))
         assert isinstance(event, Offer), event
         return event
 
-    def sweep(self) -> None:
-        """Too many connections are held: whoever may go goes."""
+    def close_surplus(self) -> None:
+        """Makes the program close every connection that it may close, as if there were too many."""
         self.callers.max_links = 0
         self.callers._close_surplus()
 
-    def gone(self) -> bool:
-        """Whether our connection has been closed; what is left to read stays there."""
+    def connection_closed(self) -> bool:
+        """Whether the test connection is closed; data that arrived before that can still be read."""
         with self.callers.lock:
             return not any(link.alive for link in self.callers.links)
 
-    def reads(self) -> bytes:
+    def receive(self) -> bytes:
         return self.sock.recv(65536)
 
     def end(self) -> None:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -26,7 +26,7 @@
 from landingdeal.core.lifecycle import Held, Idler, Lifecycle, Phase, Times, may_go, spare, times_before_kill
 from landingdeal.lab.trial.trial import TrialPlan, run_trial
 from landingdeal.sip.message import encode, request
-from tests.rig.front import Front, Gate
+from tests.rig.front import CallerHarness, StepGate
 from tests.rig.restarts import END_S, Plan, Stage, play_round
 from tests.scenario import BODY, PATIENCE_S, ROOT
 
@@ -190,8 +190,8 @@
 
 
 @pytest.fixture
-def front() -> Iterator[Front]:
-    test_front = Front()
+def front() -> Iterator[CallerHarness]:
+    test_front = CallerHarness()
     yield test_front
     test_front.end()
 
@@ -204,118 +204,120 @@
 
 
 @pytest.mark.parametrize("step", [steps.READ, steps.TAKEN])
-def test_a_connection_whose_set_up_is_being_read_is_not_closed(step: str, front: Front) -> None:
-    gate = Gate(step)
-    front.set_up()
-    gate.held()
-    front.sweep()
-    assert not front.gone()
-    gate.go.set()
-    front.offered().caller.refuse(100.0, Why.TURNED_AWAY)
-    assert front.reads().startswith(b"SIP/2.0 503")
-
-
-def test_a_connection_whose_set_up_is_unread_in_the_kernel_is_not_closed(front: Front) -> None:
+def test_a_connection_whose_set_up_is_being_read_is_not_closed(step: str, front: CallerHarness) -> None:
+    gate = StepGate(step)
+    front.send_set_up()
+    gate.wait_until_reached()
+    front.close_surplus()
+    assert not front.connection_closed()
+    gate.released.set()
+    front.next_offer().caller.refuse(100.0, Why.TURNED_AWAY)
+    assert front.receive().startswith(b"SIP/2.0 503")
+
+
+def test_a_connection_whose_set_up_is_unread_in_the_kernel_is_not_closed(front: CallerHarness) -> None:
     """The reader is held with the first set-up; the second has only reached the kernel."""
-    gate = Gate(steps.TAKEN)
-    front.set_up("a")
-    gate.held()
-    front.set_up("b")
+    gate = StepGate(steps.TAKEN)
+    front.send_set_up("a")
+    gate.wait_until_reached()
+    front.send_set_up("b")
     front.callers.transaction_answered(next(iter(front.callers.links.values()), {})["a"])  # as if answered
     until = now_ms() + 200
     while now_ms() < until:
-        front.sweep()
-        assert not front.gone()
-    gate.go.set()
+        front.close_surplus()
+        assert not front.connection_closed()
+    gate.released.set()
 
 
 @pytest.mark.parametrize("step", [steps.ANSWERED, steps.QUEUED, steps.WRITING])
-def test_a_connection_whose_answer_is_not_written_is_not_closed(step: str, front: Front) -> None:
-    front.set_up()
-    offer = front.offered()
-    gate = Gate(step)
+def test_a_connection_whose_answer_is_not_written_is_not_closed(step: str, front: CallerHarness) -> None:
+    front.send_set_up()
+    offer = front.next_offer()
+    gate = StepGate(step)
     answering_thread = start_in_background(lambda: offer.caller.answer(BODY))
-    gate.held()
-    front.sweep()
-    assert not front.gone()
-    gate.go.set()
+    gate.wait_until_reached()
+    front.close_surplus()
+    assert not front.connection_closed()
+    gate.released.set()
     answering_thread.join(PATIENCE_S)
-    assert front.reads().startswith(b"SIP/2.0 200")
+    assert front.receive().startswith(b"SIP/2.0 200")
     until = now_ms() + PATIENCE_S * 1000
-    while not front.gone() and now_ms() < until:
-        front.sweep()
-    assert front.gone() and front.reads() == b""
-
-
-def test_a_set_up_that_arrives_after_the_selection_keeps_its_connection_open(front: Front) -> None:
-    front.set_up()
-    front.offered().caller.answer(BODY)
-    front.reads()
-    gate = Gate(steps.CLOSING)
-    closing_thread = start_in_background(front.sweep)
-    gate.held()
-    front.set_up("b")
-    second_offer = front.offered()
-    gate.go.set()
+    while not front.connection_closed() and now_ms() < until:
+        front.close_surplus()
+    assert front.connection_closed() and front.receive() == b""
+
+
+def test_a_set_up_that_arrives_after_the_selection_keeps_its_connection_open(front: CallerHarness) -> None:
+    front.send_set_up()
+    front.next_offer().caller.answer(BODY)
+    front.receive()
+    gate = StepGate(steps.CLOSING)
+    closing_thread = start_in_background(front.close_surplus)
+    gate.wait_until_reached()
+    front.send_set_up("b")
+    second_offer = front.next_offer()
+    gate.released.set()
     closing_thread.join(PATIENCE_S)
-    assert not front.gone()
+    assert not front.connection_closed()
     second_offer.caller.answer(BODY)
-    assert front.reads().startswith(b"SIP/2.0 200")
+    assert front.receive().startswith(b"SIP/2.0 200")
 
 
 @pytest.mark.parametrize(
     "damaged", [b"INVITE sip:b@net SIP/2.0\r\nContent-Length: x\r\n\r\n", b"INVITE sip:b@net SIP/2.0\r\nCall"]
 )
 def test_pending_set_ups_are_answered_before_a_damaged_connection_is_closed(
-    damaged: bytes, front: Front, monkeypatch: pytest.MonkeyPatch
+    damaged: bytes, front: CallerHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("landingdeal.net.link.CallerLink.MESSAGE_TIMEOUT_MS", 50.0)
-    front.set_up()
-    offer = front.offered()
+    front.send_set_up()
+    offer = front.next_offer()
     front.sock.sendall(damaged)
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
     assert isinstance(event, Unreadable) and event.caller is offer.caller
     offer.caller.refuse(0.0, Why.TURNED_AWAY)
-    assert front.reads().startswith(b"SIP/2.0 503")
-    assert front.reads() == b""
+    assert front.receive().startswith(b"SIP/2.0 503")
+    assert front.receive() == b""
 
 
-def test_a_failing_handler_leaves_no_set_up_unanswered(front: Front, monkeypatch: pytest.MonkeyPatch) -> None:
-    front.set_up()
-    offer = front.offered()
+def test_a_failing_handler_leaves_no_set_up_unanswered(
+    front: CallerHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    front.send_set_up()
+    offer = front.next_offer()
 
     def fail(link: object, message: object) -> None:
         raise RuntimeError("injected fault")
 
     for link in front.callers.links:
         monkeypatch.setattr(link, "on_message", fail)
-    front.set_up("b")
+    front.send_set_up("b")
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
     assert isinstance(event, Unreadable) and event.call == "a"
     offer.caller.refuse(0.0, Why.TURNED_AWAY)
-    assert front.reads().startswith(b"SIP/2.0 503")
+    assert front.receive().startswith(b"SIP/2.0 503")
 
 
-def test_a_set_up_that_crosses_the_end_of_the_core_is_refused_before_the_exit(front: Front) -> None:
-    gate = Gate(steps.TAKEN)
-    front.set_up()
-    gate.held()
+def test_a_set_up_that_crosses_the_end_of_the_core_is_refused_before_the_exit(front: CallerHarness) -> None:
+    gate = StepGate(steps.TAKEN)
+    front.send_set_up()
+    gate.wait_until_reached()
     front.life.stop(now_ms())
     front.life.core_gone(now_ms())  # the held reader then puts into an inbox that is no longer read
     assert front.callers.flush() == 1
-    assert front.reads().startswith(b"SIP/2.0 503")
-    gate.go.set()
+    assert front.receive().startswith(b"SIP/2.0 503")
+    gate.released.set()
     until = now_ms() + PATIENCE_S * 1000
     while front.callers.flush() and now_ms() < until:
         threading.Event().wait(seconds_until(now_ms() + 5))
-    assert front.reads() == b"" and not front.callers.flush()
+    assert front.receive() == b"" and not front.callers.flush()
 
 
-def test_connections_in_the_backlog_are_accepted_before_the_listener_closes(front: Front) -> None:
-    gate = Gate(steps.ACCEPTED)
-    first = socket.create_connection(front.where)
-    gate.held()
-    late_connection = socket.create_connection(front.where)
+def test_connections_in_the_backlog_are_accepted_before_the_listener_closes(front: CallerHarness) -> None:
+    gate = StepGate(steps.ACCEPTED)
+    first = socket.create_connection(front.address)
+    gate.wait_until_reached()
+    late_connection = socket.create_connection(front.address)
     late_connection.settimeout(PATIENCE_S)
     late_connection.sendall(
         encode(request("OPTIONS", "sip:ping@net", ("call-id", "1"), ("cseq", "1 OPTIONS")))
@@ -323,7 +325,7 @@
     front.life.stop(0.0)
     front.life.core_looks(0, 0, TIMES.takes)
     assert front.life.phase is Phase.FINISHING and front.life.doors == 1
-    gate.go.set()
+    gate.released.set()
     # the health check fails: the program is ending
     assert late_connection.recv(100).startswith(b"SIP/2.0 503")
     until = now_ms() + PATIENCE_S * 1000
@@ -335,22 +337,22 @@
 
 
 def test_a_connection_that_cannot_be_served_does_not_close_the_listener(
-    front: Front, monkeypatch: pytest.MonkeyPatch
+    front: CallerHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def fail(link: object) -> None:
         raise RuntimeError("can't start new thread")
 
     with monkeypatch.context() as patch:
         patch.setattr("landingdeal.net.link.Link.start", fail)
-        refused = socket.create_connection(front.where)
+        refused = socket.create_connection(front.address)
         refused.settimeout(PATIENCE_S)
         assert refused.recv(1) == b""
     front.sock.close()
-    front.sock = socket.create_connection(front.where)
+    front.sock = socket.create_connection(front.address)
     front.sock.settimeout(PATIENCE_S)
-    front.set_up()
-    front.offered().caller.refuse(0.0, Why.TURNED_AWAY)
-    assert front.reads().startswith(b"SIP/2.0 503")
+    front.send_set_up()
+    front.next_offer().caller.refuse(0.0, Why.TURNED_AWAY)
+    assert front.receive().startswith(b"SIP/2.0 503")
     refused.close()
 
 
@@ -439,14 +441,14 @@
         return value[:1] + bytes(size - 1)
 
 
-def test_an_idle_connection_may_close_where_the_kernel_counts_no_received_bytes(front: Front) -> None:
-    front.set_up()
-    front.offered().caller.answer(BODY)
-    assert front.reads().startswith(b"SIP/2.0 200")
+def test_an_idle_connection_may_close_where_the_kernel_counts_no_received_bytes(front: CallerHarness) -> None:
+    front.send_set_up()
+    front.next_offer().caller.answer(BODY)
+    assert front.receive().startswith(b"SIP/2.0 200")
     for link in front.callers.links:
         link.sock = SocketWithoutByteCount(link.sock)  # type: ignore[assignment]
         assert not link.unread()
     until = now_ms() + PATIENCE_S * 1000
-    while not front.gone() and now_ms() < until:
-        front.sweep()
-    assert front.gone()
+    while not front.connection_closed() and now_ms() < until:
+        front.close_surplus()
+    assert front.connection_closed()
--- a/tests/test_one_answer.py
+++ b/tests/test_one_answer.py
@@ -18,7 +18,7 @@
 from landingdeal.net.link import CallerLink
 from landingdeal.net.transaction import CallerTransaction
 from landingdeal.sip.message import encode, request
-from tests.rig.front import Front, Gate
+from tests.rig.front import CallerHarness, StepGate
 from tests.scenario import BODY, PATIENCE_S, Platform, play
 
 IDLE_S = 0.2
@@ -109,21 +109,21 @@
 
 
 @pytest.fixture
-def front() -> Iterator[Front]:
-    test_front = Front()
+def front() -> Iterator[CallerHarness]:
+    test_front = CallerHarness()
     yield test_front
     steps.hold = None
     test_front.end()
 
 
-def cancel_set_up(front: Front, call: str = "a") -> None:
+def cancel_set_up(front: CallerHarness, call: str = "a") -> None:
     headers = ("call-id", call), ("cseq", "1 CANCEL")
     front.sock.sendall(encode(request("CANCEL", f"sip:{call}@net", *headers)))
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
     assert isinstance(event, Withdrawn)
 
 
-def read_until_idle(front: Front, idle_s: float = IDLE_S) -> bytes:
+def read_until_idle(front: CallerHarness, idle_s: float = IDLE_S) -> bytes:
     received = b""
     front.sock.settimeout(idle_s)
     with suppress(TimeoutError):
@@ -132,46 +132,48 @@
     return received
 
 
-def test_no_answer_after_the_caller_has_cancelled(front: Front) -> None:
-    front.set_up()
-    offer = front.offered()
+def test_no_answer_after_the_caller_has_cancelled(front: CallerHarness) -> None:
+    front.send_set_up()
+    offer = front.next_offer()
     cancel_set_up(front)
     offer.caller.answer(BODY)
     assert read_until_idle(front) == b""
 
 
-def test_no_answer_that_was_still_queued_when_the_caller_cancelled(front: Front) -> None:
-    front.set_up()
-    offer = front.offered()
-    gate = Gate(steps.WRITING)
+def test_no_answer_that_was_still_queued_when_the_caller_cancelled(front: CallerHarness) -> None:
+    front.send_set_up()
+    offer = front.next_offer()
+    gate = StepGate(steps.WRITING)
     offer.caller.answer(BODY)
-    gate.held()
+    gate.wait_until_reached()
     cancel_set_up(front)
-    gate.go.set()
+    gate.released.set()
     assert read_until_idle(front) == b""
 
 
-def test_one_refusal_when_reader_and_main_thread_both_refuse_at_the_end(front: Front) -> None:
-    gate = Gate(steps.TAKEN)
-    front.set_up()
-    gate.held()
+def test_one_refusal_when_reader_and_main_thread_both_refuse_at_the_end(front: CallerHarness) -> None:
+    gate = StepGate(steps.TAKEN)
+    front.send_set_up()
+    gate.wait_until_reached()
     front.inbox.closed = True
     front.life.stop(now_ms())
     front.life.core_gone(now_ms())
     front.callers.flush()
-    gate.go.set()
+    gate.released.set()
     assert read_until_idle(front).count(b"SIP/2.0 503") == 1
 
 
-def test_one_answer_when_core_and_main_thread_both_answer(front: Front) -> None:
-    front.set_up()
-    offer = front.offered()
+def test_one_answer_when_core_and_main_thread_both_answer(front: CallerHarness) -> None:
+    front.send_set_up()
+    offer = front.next_offer()
     offer.caller.refuse(0.0, Why.TURNED_AWAY)
     offer.caller.refuse(0.0, Why.TURNED_AWAY)
     assert read_until_idle(front).count(b"SIP/2.0 503") == 1
 
 
-def test_a_caller_that_closed_is_unreachable_before_the_end_of_its_connection_is_read(front: Front) -> None:
+def test_a_caller_that_closed_is_unreachable_before_the_end_of_its_connection_is_read(
+    front: CallerHarness,
+) -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         peer_sock = socket.create_connection(server.getsockname())
         sock, _ = server.accept()
