--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,7 +1,7 @@
-"""Many restarts under load, counted on the wire: `python -m benchmarks.restarts --rounds 1000 --busy`.
+"""Counts the cost of many restarts under load: `python -m benchmarks.restarts --rounds 1000 --busy`.
 
-Prints one line a kind of round and every request that was lost; exit code 1 if any was lost, answered twice
-or left. Not part of CI: a thousand rounds take some minutes.
+Prints one line per kind of round and every request that was lost; exit code 1 if any was lost, answered twice
+or left pending. Not part of CI: a thousand rounds take some minutes.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
 from contextlib import ExitStack
 from dataclasses import asdict, replace
 
-from tests.rig.restarts import Plan, Tally, busy_cores
+from tests.rig.restarts import RoundPlan, RoundTally, busy_cores
 
 
-def plan_of(kind: str, seed: int, core: int | None) -> Plan:
-    return replace(_plan_of(kind, seed, core), port=10000 + seed % 9000)
+def plan_for(kind: str, seed: int, core: int | None) -> RoundPlan:
+    return replace(_plan_without_port(kind, seed, core), port=10000 + seed % 9000)
 
 
-def _plan_of(kind: str, seed: int, core: int | None) -> Plan:
+def _plan_without_port(kind: str, seed: int, core: int | None) -> RoundPlan:
     match kind:
         case "surge":
-            return Plan(seed=seed, connections=85, surge=40, stop=False, core=core)
+            return RoundPlan(seed=seed, connections=85, surge=40, stop=False, core=core)
         case "surge+stop":
-            return Plan(seed=seed, connections=85, surge=40, core=core)
+            return RoundPlan(seed=seed, connections=85, surge=40, core=core)
         case "slow hub":
-            return Plan(seed=seed, connections=100, answers_ms=(500.0, 2500.0), core=core)
+            return RoundPlan(seed=seed, connections=100, answer_delay_ms=(500.0, 2500.0), core=core)
         case _:
-            return Plan(seed=seed, connections=50 + seed % 51, core=core)
+            return RoundPlan(seed=seed, connections=50 + seed % 51, core=core)
 
 
-def run_one(plan: Plan, program: list[str]) -> Tally:
-    """In a process of its own: a stage is one busy thread."""
+def run_one(plan: RoundPlan, program: list[str]) -> RoundTally:
+    """Runs the round in a process of its own, because the test environment keeps one thread busy."""
     import subprocess
 
-    made = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "benchmarks.restarts", "--one", json.dumps(asdict(plan)), "--", *program],
         capture_output=True, text=True,
     )  # fmt: skip
-    if made.returncode:
-        return Tally(notes=[made.stderr[-1500:]], code=made.returncode)
-    return Tally(**json.loads(made.stdout))
+    if completed.returncode:
+        return RoundTally(notes=[completed.stderr[-1500:]], code=completed.returncode)
+    return RoundTally(**json.loads(completed.stdout))
 
 
 def main() -> int:
@@ -55,41 +55,43 @@
     parser.add_argument("--busy", action="store_true", help="a spinning process beside each program")
     parser.add_argument("--at-once", type=int, default=max((os.cpu_count() or 2) - 2, 1))
     parser.add_argument("--one", help=argparse.SUPPRESS)
-    parser.add_argument("program", nargs="*", help="after --: what to start in place of this program")
+    parser.add_argument("program", nargs="*", help="after --: the command to start in place of this program")
     args = parser.parse_args()
     if args.one:
-        from tests.rig.restarts import play_round
+        from tests.rig.restarts import run_round
 
-        raw = json.loads(args.one)
-        plan = Plan(**{k: tuple(v) if isinstance(v, list) else v for k, v in raw.items()})
-        print(json.dumps(asdict(play_round(plan, args.program or None))))
+        fields = json.loads(args.one)
+        plan = RoundPlan(**{k: tuple(v) if isinstance(v, list) else v for k, v in fields.items()})
+        print(json.dumps(asdict(run_round(plan, args.program or None))))
         return 0
-    bad = False
+    failed = False
     cores = list(range(args.at_once))
     with ExitStack() as stack:
         if args.busy:
             stack.enter_context(busy_cores(cores))
         for kind in args.kinds.split(","):
-            began, total = time.monotonic(), Tally()
+            started_at, total = time.monotonic(), RoundTally()
             exits: list[float] = []
             with ThreadPoolExecutor(args.at_once) as pool:
                 rounds = [
-                    pool.submit(run_one, plan_of(kind, args.seed + n, cores[n % len(cores)]), args.program)
+                    pool.submit(run_one, plan_for(kind, args.seed + n, cores[n % len(cores)]), args.program)
                     for n in range(args.rounds)
                 ]
-                for done in as_completed(rounds):
-                    total.add(done.result())
-                    exits.append(done.result().exit_ms)
+                for future in as_completed(rounds):
+                    total.add(future.result())
+                    exits.append(future.result().exit_ms)
             exits.sort()
-            print(f"{kind:10} {args.rounds} rounds, {time.monotonic() - began:.0f} s: {total.sent} set-ups, "
+            print(f"{kind:10} {args.rounds} rounds, {time.monotonic() - started_at:.0f} s: "
+                  f"{total.sent} set-ups, "
                   f"{total.answered} answered, {total.refused} refused, {total.lost} lost, "
-                  f"{total.crossed} crossed, {total.turned_away} turned away, {total.twice} twice, "
-                  f"{total.unanswered} left; ended after {exits[len(exits) // 2]:.0f} ms (most "
+                  f"{total.raced_close} raced a close, {total.closed_before_use} closed before use, "
+                  f"{total.answered_twice} answered twice, "
+                  f"{total.left_pending} left pending; ended after {exits[len(exits) // 2]:.0f} ms (most "
                   f"{exits[-1]:.0f}), code {total.code}", flush=True)  # fmt: skip
             for note in total.notes[:30]:
                 print("   ", note)
-            bad |= bool(total.lost or total.twice or total.unanswered or total.notes)
-    return int(bad)
+            failed |= bool(total.lost or total.answered_twice or total.left_pending or total.notes)
+    return int(failed)
 
 
 if __name__ == "__main__":
--- a/tests/rig/restarts.py
+++ b/tests/rig/restarts.py
@@ -1,12 +1,13 @@
-"""A stage that counts what a restart, or a crowd of connections, costs the callers: per request, on the wire.
+"""A test environment that counts, per request, what a restart or a surge of connections costs the callers.
 
-One thread and one selector play the callers, a lab hub that answers everything and the event bus; the program
-runs as the platform starts it. A caller holds a few connections, sends set-ups without waiting for answers,
-opens new connections and closes old ones. In each round SIGTERM comes at a random moment; new connections go
-on for 0.2 to 0.4 s after it and set-ups on open ones for 0.2 s beyond, as at a planned restart.
+One thread and one selector run the callers, a lab hub that answers everything and the event bus; the program
+runs as the platform starts it. The callers keep a number of connections, send set-ups without waiting for
+answers, open new connections and close old ones. In each round SIGTERM comes at a random moment; new
+connections are opened for 0.2 to 0.4 s after it and set-ups are sent on open ones for 0.2 s beyond, as at a
+planned restart.
 
-A set-up is `lost` when its connection ends with no whole answer to it; where its last byte was written at the
-most 50 ms before the end, it `crossed` the close, which the protocol allows while nothing is open there.
+A set-up is `lost` if its connection ends without a whole answer to it. If its last byte was written at most
+50 ms before the end, it counts as `raced_close`: the protocol allows that as long as nothing else is pending.
 """
 
 from __future__ import annotations
@@ -32,93 +33,107 @@
 from landingdeal.sip.message import Framer, FramingError, MalformedMessage, Message, encode, request, response
 from tests.scenario import BODY, ROOT, SETTINGS
 
-CROSS_S = 0.050
-READY_S = 20.0
-END_S = 4.0  # after SIGTERM; the kill comes 3.7 s after it at the earliest
+CLOSE_RACE_S = 0.050
+READY_TIMEOUT_S = 20.0
+EXIT_TIMEOUT_S = 4.0  # after SIGTERM; SIGKILL comes 3.7 s after it at the earliest
 
 
 @dataclass
-class Plan:
-    """One round. `per_s` set-ups; `connections` held at once, of which `fresh` a second are new ones."""
+class RoundPlan:
+    """One round: `set_ups_per_s`, and `connections` kept open, with `new_connections_per_s`."""
 
     seed: int = 1
     connections: int = 60
-    fresh: float = 40.0
-    per_s: float = 120.0
-    answers_ms: tuple[float, float] = (1.0, 250.0)
-    load_s: tuple[float, float] = (0.3, 0.8)
+    new_connections_per_s: float = 40.0
+    set_ups_per_s: float = 120.0
+    answer_delay_ms: tuple[float, float] = (1.0, 250.0)
+    load_duration_s: tuple[float, float] = (0.3, 0.8)
     stop: bool = True  # False: the round ends without SIGTERM
-    surge: int = 0  # so many more connections at once, at a random moment of the load
-    surge_again: float = 0.3  # how far after it that happens, at most
+    surge: int = 0  # additional connections opened at once, at a random moment of the load
+    surge_request_delay_s: float = 0.3  # the longest time from the surge to a set-up on such a connection
     sockets: int = 256
-    core: int | None = None  # the program is held to this one
-    port: int = 0  # 0: any that is free; stages side by side are given theirs
+    core: int | None = None  # the only core that the program may use
+    port: int = 0  # 0: any free port; environments that run in parallel are given theirs
 
 
 @dataclass
-class Tally:
+class RoundTally:
     sent: int = 0
     answered: int = 0
     refused: int = 0
     lost: int = 0
-    crossed: int = 0
-    turned_away: int = 0  # first set-up on a connection that was closed before anything was sent on
-    twice: int = 0
-    unanswered: int = 0  # its connection stood when the round ended
+    raced_close: int = 0
+    closed_before_use: int = 0  # no response on the connection, and the set-up never reached the hub
+    answered_twice: int = 0
+    left_pending: int = 0  # the connection was still open at the end of the round
     exit_ms: float = 0.0
     code: int | None = None
     notes: list[str] = field(default_factory=list)
 
-    def add(self, other: Tally) -> None:
-        for name in ("sent", "answered", "refused", "lost", "crossed", "turned_away", "twice", "unanswered"):
+    def add(self, other: RoundTally) -> None:
+        for name in (
+            "sent",
+            "answered",
+            "refused",
+            "lost",
+            "raced_close",
+            "closed_before_use",
+            "answered_twice",
+            "left_pending",
+        ):
             setattr(self, name, getattr(self, name) + getattr(other, name))
         self.exit_ms = max(self.exit_ms, other.exit_ms)
         self.code = other.code if self.code in (0, None) else self.code
         self.notes += other.notes
 
 
-class Wire:
-    """One nonblocking connection of the stage: what it still has to write, and what came."""
+class HarnessConnection:
+    """One nonblocking connection of the test environment, with its unsent data and pending set-ups."""
 
-    def __init__(self, sock: socket.socket, came: Callable[[Wire, Message], None]) -> None:
+    def __init__(self, sock: socket.socket, on_message: Callable[[HarnessConnection, Message], None]) -> None:
         sock.setblocking(False)
-        self.sock, self.came = sock, came
-        self.framer, self.out = Framer(), b""
-        self.open: dict[str, float] = {}  # set-ups without an answer, and when their last byte was written
-        self.unwritten: list[str] = []
-        self.asked = self.heard = 0
+        self.sock, self.on_message = sock, on_message
+        self.framer, self.unsent = Framer(), b""
+        self.pending: dict[str, float] = {}  # by Call-ID: when the last byte was written
+        self.unsent_calls: list[str] = []  # set-ups not yet written whole
+        self.set_ups_sent = self.responses_received = 0
         self.ended = False
-        self.used = time.monotonic()
+        self.last_used_at = time.monotonic()
 
 
-class Stage:
-    def __init__(self, plan: Plan, folder: Path, program: list[str] | None = None) -> None:
-        self.plan, self.tally = plan, Tally()
-        self.random = random.Random(plan.seed)
+class RestartEnvironment:
+    """The program's process with emulated callers, a lab hub and the event bus, for one round."""
+
+    def __init__(self, plan: RoundPlan, folder: Path, program: list[str] | None = None) -> None:
+        self.plan, self.tally = plan, RoundTally()
+        self.rng = random.Random(plan.seed)
         self.selector = selectors.DefaultSelector()
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
-        self.order, self.ids = itertools.count(), itertools.count(1)
-        self.calls: dict[str, int] = {}  # answers to each set-up
-        self.at_hub: set[str] = set()
-        self.wires: list[Wire] = []  # callers'
-        self.callers_stop = self.connects_stop = float("inf")
+        self.timer_numbers, self.call_numbers = itertools.count(), itertools.count(1)
+        self.responses_by_call: dict[str, int] = {}  # number of answers to each set-up
+        self.calls_at_hub: set[str] = set()
+        self.caller_connections: list[HarnessConnection] = []
+        self.set_ups_stop_at = self.connecting_stops_at = float("inf")
         self.hub, self.bus = socket.create_server(("127.0.0.1", 0)), socket.create_server(("127.0.0.1", 0))
-        for listener, accepted in ((self.hub, self._hub_accepted), (self.bus, self._bus_accepted)):
+        for listener, on_connection in (
+            (self.hub, self._accept_at_hub),
+            (self.bus, self._accept_at_discovery),
+        ):
             listener.setblocking(False)
-            self.selector.register(listener, selectors.EVENT_READ, accepted)
+            self.selector.register(listener, selectors.EVENT_READ, on_connection)
         self.port = plan.port or free_port()
         self.process = self._start(folder, program or [sys.executable, "-B", "-m", "landingdeal"])
 
     def _start(self, folder: Path, program: list[str]) -> subprocess.Popen[bytes]:
-        def where(listener: socket.socket) -> str:
+        def address_of(listener: socket.socket) -> str:
             return f"127.0.0.1:{listener.getsockname()[1]}"
 
-        row = {"name": "s-1", "address": where(self.hub), "group": 1, "status": "up", "since_ms": 0}
-        event = {"offset": 1, "topology": {"index": 1, "snapshot": True, "endpoints": [row]}}
+        entry = {"name": "s-1", "address": address_of(self.hub), "group": 1, "status": "up", "since_ms": 0}
+        event = {"offset": 1, "topology": {"index": 1, "snapshot": True, "endpoints": [entry]}}
         config = {
             "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": f"{self.plan.seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.plan.sockets},
-            "bus": where(self.bus), "known": {"offset": 1, "batch": [event]}, "settings": SETTINGS,
+            "bus": address_of(self.bus), "known": {"offset": 1, "batch": [event]}, "settings": SETTINGS,
         }  # fmt: skip
         path = folder / "config.json"
         path.write_text(json.dumps(config))
@@ -129,12 +144,12 @@
             os.sched_setaffinity(process.pid, {self.plan.core})
         return process
 
-    # --- the loop ---
+    # --- the event loop ---
 
-    def at(self, when: float, work: Callable[[], None]) -> None:
-        heapq.heappush(self.timers, (when, next(self.order), work))
+    def call_at(self, when: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.timers, (when, next(self.timer_numbers), callback))
 
-    def until(self, done: Callable[[], bool], deadline: float) -> bool:
+    def run_until(self, done: Callable[[], bool], deadline: float) -> bool:
         while not done():
             now = time.monotonic()
             if now >= deadline:
@@ -146,109 +161,117 @@
                 heapq.heappop(self.timers)[2]()
         return True
 
-    def _watch(self, wire: Wire) -> None:
-        self.selector.register(wire.sock, selectors.EVENT_READ, lambda mask: self._ready(wire, mask))
+    def _register(self, connection: HarnessConnection) -> None:
+        self.selector.register(
+            connection.sock, selectors.EVENT_READ, lambda mask: self._on_socket_event(connection, mask)
+        )
 
-    def put(self, wire: Wire, message: Message) -> None:
-        wire.out += encode(message)
-        self._flush(wire)
+    def send(self, connection: HarnessConnection, message: Message) -> None:
+        connection.unsent += encode(message)
+        self._flush(connection)
 
-    def _flush(self, wire: Wire) -> None:
-        if wire.ended:
+    def _flush(self, connection: HarnessConnection) -> None:
+        if connection.ended:
             return
         try:
-            while wire.out:
-                wire.out = wire.out[wire.sock.send(wire.out) :]
+            while connection.unsent:
+                connection.unsent = connection.unsent[connection.sock.send(connection.unsent) :]
         except BlockingIOError:
             events = selectors.EVENT_READ | selectors.EVENT_WRITE
-            self.selector.modify(wire.sock, events, lambda mask: self._ready(wire, mask))
+            self.selector.modify(
+                connection.sock, events, lambda mask: self._on_socket_event(connection, mask)
+            )
             return
         except OSError:
-            self._end(wire, "reset while written to")
+            self._end(connection, "reset while written to")
             return
-        for call in wire.unwritten:
-            wire.open[call] = time.monotonic()
-        wire.unwritten.clear()
+        for call_id in connection.unsent_calls:
+            connection.pending[call_id] = time.monotonic()
+        connection.unsent_calls.clear()
 
-    def _ready(self, wire: Wire, mask: int) -> None:
+    def _on_socket_event(self, connection: HarnessConnection, mask: int) -> None:
         if mask & selectors.EVENT_WRITE:
-            self.selector.modify(wire.sock, selectors.EVENT_READ, lambda m: self._ready(wire, m))
-            self._flush(wire)
-        if wire.ended or not mask & selectors.EVENT_READ:
+            self.selector.modify(
+                connection.sock, selectors.EVENT_READ, lambda m: self._on_socket_event(connection, m)
+            )
+            self._flush(connection)
+        if connection.ended or not mask & selectors.EVENT_READ:
             return
         try:
-            data = wire.sock.recv(65536)
+            data = connection.sock.recv(65536)
         except BlockingIOError:
             return
         except OSError:
-            self._end(wire, "reset")
+            self._end(connection, "reset")
             return
         if not data:
-            self._end(wire, "closed")
+            self._end(connection, "closed")
             return
         try:
-            for message in wire.framer.feed(data):
+            for message in connection.framer.feed(data):
                 assert not isinstance(message, MalformedMessage), message
-                wire.came(wire, message)
+                connection.on_message(connection, message)
         except FramingError as error:
             self.tally.notes.append(f"unreadable: {error}")
-            self._end(wire, "unreadable")
+            self._end(connection, "unreadable")
 
-    def _end(self, wire: Wire, how: str) -> None:
-        if wire.ended:
+    def _end(self, connection: HarnessConnection, ending: str) -> None:
+        if connection.ended:
             return
-        wire.ended = True
+        connection.ended = True
         now = time.monotonic()
-        self.selector.unregister(wire.sock)
-        wire.sock.close()
-        if wire in self.wires:
-            self.wires.remove(wire)
-        for call, written in wire.open.items():
-            if now - written <= CROSS_S:
-                self.tally.crossed += 1
+        self.selector.unregister(connection.sock)
+        connection.sock.close()
+        if connection in self.caller_connections:
+            self.caller_connections.remove(connection)
+        for call_id, written in connection.pending.items():
+            if now - written <= CLOSE_RACE_S:
+                self.tally.raced_close += 1
                 continue
-            if not wire.heard and call not in self.at_hub:
-                self.tally.turned_away += 1
+            if not connection.responses_received and call_id not in self.calls_at_hub:
+                self.tally.closed_before_use += 1
                 continue
             self.tally.lost += 1
             self.tally.notes.append(
-                f"{call}: written {(now - written) * 1000:.0f} ms before its connection was {how}, "
-                f"{'seen' if call in self.at_hub else 'not seen'} at the hub, "
-                f"{(now - self.stopped) * 1000:.0f} ms after SIGTERM"
+                f"{call_id}: written {(now - written) * 1000:.0f} ms before its connection was {ending}, "
+                f"{'seen' if call_id in self.calls_at_hub else 'not seen'} at the hub, "
+                f"{(now - self.stop_requested_at) * 1000:.0f} ms after SIGTERM"
             )
 
     # --- the lab hub and the event bus ---
 
-    def _hub_accepted(self, _mask: int) -> None:
+    def _accept_at_hub(self, _mask: int) -> None:
         sock, _ = self.hub.accept()
-        wire = Wire(sock, self._at_hub)
-        self._watch(wire)
-        self.put(wire, request("NOTIFY", "sip:state@net", ("call-id", "1"), ("cseq", "1 NOTIFY"),
+        connection = HarnessConnection(sock, self._received_at_hub)
+        self._register(connection)
+        self.send(connection, request("NOTIFY", "sip:state@net", ("call-id", "1"), ("cseq", "1 NOTIFY"),
                                ("x-state", "x0:4000;x1:4000")))  # fmt: skip
 
-    def _at_hub(self, wire: Wire, message: Message) -> None:
+    def _received_at_hub(self, connection: HarnessConnection, message: Message) -> None:
         if message.method == "OPTIONS" or message.method == "BYE":
-            self.put(wire, response(message, 200))
+            self.send(connection, response(message, 200))
         elif message.method == "INVITE":
-            self.at_hub.add(message.call_id)
-            late = self.random.uniform(*self.plan.answers_ms) / 1000
-            self.at(time.monotonic() + late, lambda: self.put(wire, response(message, 200, body=BODY)))
+            self.calls_at_hub.add(message.call_id)
+            delay_s = self.rng.uniform(*self.plan.answer_delay_ms) / 1000
+            self.call_at(
+                time.monotonic() + delay_s, lambda: self.send(connection, response(message, 200, body=BODY))
+            )
 
-    def _bus_accepted(self, _mask: int) -> None:
+    def _accept_at_discovery(self, _mask: int) -> None:
         sock, _ = self.bus.accept()
-        wire = Wire(sock, lambda _w, _m: None)
-        wire.sock.send(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
+        connection = HarnessConnection(sock, lambda _w, _m: None)
+        connection.sock.send(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
 
-        def comment() -> None:
+        def send_comments() -> None:
             with contextlib.suppress(OSError):
-                wire.sock.send(b":\n\n")
-                self.at(time.monotonic() + 1.0, comment)
+                connection.sock.send(b":\n\n")
+                self.call_at(time.monotonic() + 1.0, send_comments)
 
-        comment()
+        send_comments()
 
     # --- callers ---
 
-    def connect(self) -> Wire | None:
+    def connect(self) -> HarnessConnection | None:
         sock = socket.socket()
         sock.settimeout(2.0)
         try:
@@ -256,110 +279,123 @@
         except OSError:
             sock.close()
             return None
-        wire = Wire(sock, self._at_caller)
-        self.wires.append(wire)
-        self._watch(wire)
-        return wire
-
-    def set_up(self, wire: Wire) -> None:
-        call = f"{next(self.ids):016x}"
-        wire.used = time.monotonic()
-        wire.asked += 1
-        wire.unwritten.append(call)
+        connection = HarnessConnection(sock, self._received_at_caller)
+        self.caller_connections.append(connection)
+        self._register(connection)
+        return connection
+
+    def send_set_up(self, connection: HarnessConnection) -> None:
+        call_id = f"{next(self.call_numbers):016x}"
+        connection.last_used_at = time.monotonic()
+        connection.set_ups_sent += 1
+        connection.unsent_calls.append(call_id)
         self.tally.sent += 1
-        self.calls[call] = 0
-        self.put(wire, request("INVITE", f"sip:{call}@net", ("via", "SIP/2.0/TCP peer"), ("call-id", call),
-                               ("cseq", "1 INVITE"), ("subject", "voice"), ("x-patience", "3000"),
-                               ("x-facts", "dest:1;width:1;via:-1"), body=BODY))  # fmt: skip
+        self.responses_by_call[call_id] = 0
+        self.send(connection, request("INVITE", f"sip:{call_id}@net", ("via", "SIP/2.0/TCP peer"),
+                               ("call-id", call_id), ("cseq", "1 INVITE"), ("subject", "voice"),
+                               ("x-patience", "3000"), ("x-facts", "dest:1;width:1;via:-1"),
+                               body=BODY))  # fmt: skip
 
-    def _at_caller(self, wire: Wire, message: Message) -> None:
+    def _received_at_caller(self, connection: HarnessConnection, message: Message) -> None:
         if message.method:
             return  # a release
         if message.cseq[1] == "OPTIONS":
-            self.well = message.status == 200
+            self.ready = message.status == 200
             return
         if message.cseq[1] != "INVITE" or message.status < 200:
             return
-        call = message.call_id
-        wire.heard += 1
-        wire.open.pop(call, None)
-        self.calls[call] += 1
-        if self.calls[call] > 1:
-            self.tally.twice += 1
+        call_id = message.call_id
+        connection.responses_received += 1
+        connection.pending.pop(call_id, None)
+        self.responses_by_call[call_id] += 1
+        if self.responses_by_call[call_id] > 1:
+            self.tally.answered_twice += 1
         elif message.status < 300:
             self.tally.answered += 1
         else:
             self.tally.refused += 1
-        self.put(wire, request("ACK", f"sip:{call}@net", ("via", "SIP/2.0/TCP peer"), ("call-id", call),
-                               ("cseq", "1 ACK")))  # fmt: skip
+        self.send(connection, request("ACK", f"sip:{call_id}@net", ("via", "SIP/2.0/TCP peer"),
+                               ("call-id", call_id), ("cseq", "1 ACK")))  # fmt: skip
 
-    def _arrive(self) -> None:
-        """One set-up, perhaps on a new connection; then the next one, at an exponential distance."""
+    def _send_next(self) -> None:
+        """Sends a set-up, perhaps on a new connection, and schedules the next after an exponential delay."""
         now = time.monotonic()
-        if now >= self.callers_stop:
+        if now >= self.set_ups_stop_at:
             return
         plan = self.plan
-        fresh = now < self.connects_stop and self.random.random() < plan.fresh / plan.per_s
-        wire = self.connect() if fresh or not self.wires else None
-        if wire is None and self.wires:
-            wire = self.random.choice(self.wires)
-        if wire is not None:
-            self.set_up(wire)
-        idle = [w for w in self.wires if not w.open and not w.out and w.asked and w is not wire]
-        if len(self.wires) > plan.connections and idle:
-            self._end(min(idle, key=lambda w: w.used), "left")
-        self.at(now + self.random.expovariate(plan.per_s), self._arrive)
-
-    def _surge(self) -> None:
-        """Callers of others come here at once, and each asks soon after it has connected."""
+        on_new_connection = (
+            now < self.connecting_stops_at
+            and self.rng.random() < plan.new_connections_per_s / plan.set_ups_per_s
+        )
+        connection = self.connect() if on_new_connection or not self.caller_connections else None
+        if connection is None and self.caller_connections:
+            connection = self.rng.choice(self.caller_connections)
+        if connection is not None:
+            self.send_set_up(connection)
+        idle = [
+            c
+            for c in self.caller_connections
+            if not c.pending and not c.unsent and c.set_ups_sent and c is not connection
+        ]
+        if len(self.caller_connections) > plan.connections and idle:
+            self._end(min(idle, key=lambda c: c.last_used_at), "left")
+        self.call_at(now + self.rng.expovariate(plan.set_ups_per_s), self._send_next)
+
+    def _open_surge(self) -> None:
+        """Opens connections at once, as when callers move here; each soon sends a set-up."""
         for _ in range(self.plan.surge):
-            wire = self.connect()
-            if wire is not None:
-                later = time.monotonic() + self.random.uniform(0.0, self.plan.surge_again)
-                self.at(later, lambda on=wire: None if on.ended else self.set_up(on))  # type: ignore[misc]
+            connection = self.connect()
+            if connection is not None:
+                send_at = time.monotonic() + self.rng.uniform(0.0, self.plan.surge_request_delay_s)
+                self.call_at(send_at, lambda c=connection: None if c.ended else self.send_set_up(c))  # type: ignore[misc]
 
     # --- a round ---
 
-    def _ready_by(self, deadline: float) -> None:
-        self.well = False
-        while time.monotonic() < deadline and not self.well:
-            wire = self.connect()
-            if wire is None:
+    def _wait_until_ready(self, deadline: float) -> None:
+        self.ready = False
+        while time.monotonic() < deadline and not self.ready:
+            connection = self.connect()
+            if connection is None:
                 time.sleep(0.02)
                 continue
-            self.put(wire, request("OPTIONS", "sip:ping@net", ("call-id", "1"), ("cseq", "1 OPTIONS")))
-            self.until(lambda: self.well, time.monotonic() + 0.1)
-            self._end(wire, "left")
-        assert self.well, "the program does not get ready"
+            self.send(connection, request("OPTIONS", "sip:ping@net", ("call-id", "1"), ("cseq", "1 OPTIONS")))
+            self.run_until(lambda: self.ready, time.monotonic() + 0.1)
+            self._end(connection, "left")
+        assert self.ready, "the program does not become ready"
 
-    def round(self) -> Tally:
+    def run(self) -> RoundTally:
+        """Runs the load, then the stop if the plan has one, and returns the counts."""
         plan, tally = self.plan, self.tally
-        self.stopped = time.monotonic()
-        self._ready_by(time.monotonic() + READY_S)
+        self.stop_requested_at = time.monotonic()
+        self._wait_until_ready(time.monotonic() + READY_TIMEOUT_S)
         for _ in range(plan.connections):
             self.connect()
-        start = time.monotonic()
-        load = self.random.uniform(*plan.load_s)
-        self.at(start, self._arrive)
+        load_start = time.monotonic()
+        load_duration_s = self.rng.uniform(*plan.load_duration_s)
+        self.call_at(load_start, self._send_next)
         if plan.surge:
-            self.at(start + self.random.uniform(0.0, load), self._surge)
-        self.until(lambda: False, start + load)
-        self.stopped = time.monotonic()
+            self.call_at(load_start + self.rng.uniform(0.0, load_duration_s), self._open_surge)
+        self.run_until(lambda: False, load_start + load_duration_s)
+        self.stop_requested_at = time.monotonic()
         if plan.stop:
-            self.connects_stop = self.stopped + self.random.uniform(0.2, 0.4)
-            self.callers_stop = self.connects_stop + 0.2
+            self.connecting_stops_at = self.stop_requested_at + self.rng.uniform(0.2, 0.4)
+            self.set_ups_stop_at = self.connecting_stops_at + 0.2
             self.process.send_signal(signal.SIGTERM)
-            over = self.until(lambda: self.process.poll() is not None, self.stopped + END_S)
-            tally.exit_ms = (time.monotonic() - self.stopped) * 1000
-            if not over:
-                tally.notes.append("it does not end")
+            exited = self.run_until(
+                lambda: self.process.poll() is not None, self.stop_requested_at + EXIT_TIMEOUT_S
+            )
+            tally.exit_ms = (time.monotonic() - self.stop_requested_at) * 1000
+            if not exited:
+                tally.notes.append("the program does not end")
             tally.code = self.process.poll()
-            self.until(lambda: not self.wires, time.monotonic() + 0.2)
+            self.run_until(lambda: not self.caller_connections, time.monotonic() + 0.2)
         else:
-            self.callers_stop = self.stopped
-            self.until(lambda: False, time.monotonic() + plan.surge_again)
-            self.until(lambda: not any(w.open for w in self.wires), time.monotonic() + 4.0)
-        tally.unanswered = sum(len(wire.open) for wire in self.wires)
+            self.set_ups_stop_at = self.stop_requested_at
+            self.run_until(lambda: False, time.monotonic() + plan.surge_request_delay_s)
+            self.run_until(
+                lambda: not any(c.pending for c in self.caller_connections), time.monotonic() + 4.0
+            )
+        tally.left_pending = sum(len(connection.pending) for connection in self.caller_connections)
         return tally
 
     def end(self) -> None:
@@ -373,13 +409,13 @@
         self.log.close()
 
 
-def play_round(plan: Plan, program: list[str] | None = None) -> Tally:
+def run_round(plan: RoundPlan, program: list[str] | None = None) -> RoundTally:
     with tempfile.TemporaryDirectory() as folder:
-        stage = Stage(plan, Path(folder), program)
+        environment = RestartEnvironment(plan, Path(folder), program)
         try:
-            tally = stage.round()
+            tally = environment.run()
         finally:
-            stage.end()
+            environment.end()
         log = (Path(folder) / "log").read_text(errors="replace")
     if "Traceback" in log or tally.code:
         tally.notes.append(log[max(log.find("Traceback"), 0) :][:2000])
@@ -388,7 +424,7 @@
 
 @contextlib.contextmanager
 def busy_cores(cores: list[int]) -> Iterator[None]:
-    """Keeps these cores busy with one spinning process each, for two hours at the most."""
+    """Keeps these cores busy with one spinning process each, for at most two hours."""
     spin = "import time\nend = time.monotonic() + 7200\nwhile time.monotonic() < end: pass"
     spinners = []
     for core in cores:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -27,7 +27,7 @@
 from landingdeal.lab.trial.trial import TrialPlan, run_trial
 from landingdeal.sip.message import encode, request
 from tests.rig.front import CallerHarness, StepGate
-from tests.rig.restarts import END_S, Plan, Stage, play_round
+from tests.rig.restarts import EXIT_TIMEOUT_S, RestartEnvironment, RoundPlan, run_round
 from tests.scenario import BODY, PATIENCE_S, ROOT
 
 TIMES = Times()
@@ -360,13 +360,18 @@
 
 
 @pytest.mark.parametrize(
-    "plan", [Plan(seed=1), Plan(seed=2, connections=85, surge=40), Plan(seed=3, answers_ms=(500.0, 2500.0))]
+    "plan",
+    [
+        RoundPlan(seed=1),
+        RoundPlan(seed=2, connections=85, surge=40),
+        RoundPlan(seed=3, answer_delay_ms=(500.0, 2500.0)),
+    ],
 )
-def test_a_restart_under_load_loses_no_set_up(plan: Plan) -> None:
-    tally = play_round(replace(plan, load_s=(0.4, 0.4)))
+def test_a_restart_under_load_loses_no_set_up(plan: RoundPlan) -> None:
+    tally = run_round(replace(plan, load_duration_s=(0.4, 0.4)))
     assert tally.sent > 20 and tally.code == 0 and not tally.notes
-    assert (tally.lost, tally.twice, tally.unanswered) == (0, 0, 0)
-    assert tally.answered + tally.refused + tally.crossed + tally.turned_away == tally.sent
+    assert (tally.lost, tally.answered_twice, tally.left_pending) == (0, 0, 0)
+    assert tally.answered + tally.refused + tally.raced_close + tally.closed_before_use == tally.sent
 
 
 @pytest.mark.parametrize("longest_deadline_ms", [300.0, 600.0, 1200.0, 3000.0, 9000.0])
@@ -410,15 +415,15 @@
     for delay_ms in range(0, 400, 40):
         with tempfile.TemporaryDirectory() as folder:
             command = ["/bin/sh", "-c", run.replace(".venv/bin", VENV_BIN)]
-            harness = Stage(Plan(seed=delay_ms), Path(folder), command)
+            harness = RestartEnvironment(RoundPlan(seed=delay_ms), Path(folder), command)
             wait_until_sighup_is_handled(harness.process.pid)
             time.sleep(delay_ms / 1000)
             harness.process.send_signal(number)
             try:
                 if number is signal.SIGTERM:
-                    assert harness.process.wait(END_S) in (0, -signal.SIGTERM)
+                    assert harness.process.wait(EXIT_TIMEOUT_S) in (0, -signal.SIGTERM)
                 else:
-                    tally = harness.round()
+                    tally = harness.run()
                     assert tally.code == 0 and not tally.lost, tally.notes
             finally:
                 harness.end()
