--- a/benchmarks/captures.py
+++ b/benchmarks/captures.py
@@ -1,7 +1,7 @@
-"""How fast captures are read, and in how much memory: `python -m benchmarks.captures --mb 10 --mb 1000`.
+"""Measures the speed and memory of reading captures: `python -m benchmarks.captures --mb 10 --mb 1000`.
 
-Makes captures of the given sizes in a temporary folder (plain, fragmented, TCP, zstd), reads each to its
-calls in a process of its own and prints packets and messages a second and the peak of resident memory. Not
+Writes captures of the given sizes to a temporary folder (plain, fragmented, TCP, zstd), reads the calls of
+each in a process of its own and prints packets and messages per second and the peak of resident memory. Not
 part of CI.
 """
 
@@ -19,36 +19,39 @@
 from landingdeal.capture.encode import PcapFile
 from landingdeal.capture.sample import START_NS, Shape, packets, traffic
 
-KINDS = {
+TRAFFIC_BY_KIND = {
     "plain": Shape(calls=2000, per_s=100.0),
     "fragmented": Shape(calls=2000, per_s=100.0, padding=3000),
     "tcp": Shape(calls=2000, per_s=100.0, transport="TCP"),
 }
 
 
-def make(path: Path, kind: str, size: int) -> None:
-    """Blocks of calls, one after another in time, until the file is large enough."""
-    form, at, written, seed = PcapFile(), START_NS, 0, 1
+def write_capture(path: Path, kind: str, size: int) -> None:
+    """Writes blocks of calls, one after another in time, until the file has at least `size` bytes."""
+    pcap, start_ns, written, seed = PcapFile(), START_NS, 0, 1
     with path.open("wb") as file:
-        file.write(form.head())
+        file.write(pcap.head())
         while written < size:
-            frames = packets(traffic(KINDS[kind], seed, at))
-            data = b"".join(form.record(time_ns, frame) for time_ns, frame in frames)
+            frames = packets(traffic(TRAFFIC_BY_KIND[kind], seed, start_ns))
+            data = b"".join(pcap.record(time_ns, frame) for time_ns, frame in frames)
             file.write(data)
-            written, at, seed = written + len(data), frames[-1][0] + 10**9, seed + 1
+            written, start_ns, seed = written + len(data), frames[-1][0] + 10**9, seed + 1
 
 
-def read_one(path: str) -> None:
+def measure_reading(path: str) -> None:
+    """Reads one capture and prints counts, time and peak memory as JSON."""
     from landingdeal.capture.calls import Calls
     from landingdeal.capture.reader import Reading, read
 
     reading, calls = Reading(), Calls()
-    began = time.perf_counter()
-    found = sum(1 for seen in read([path], reading) for _ in calls.feed(seen)) + sum(1 for _ in calls.end())
-    span = time.perf_counter() - began
+    started_at = time.perf_counter()
+    call_count = sum(1 for seen in read([path], reading) for _ in calls.feed(seen)) + sum(
+        1 for _ in calls.end()
+    )
+    duration_s = time.perf_counter() - started_at
     print(json.dumps({
-        "packets": reading.counts["packets"], "messages": reading.counts["messages"], "calls": found,
-        "seconds": span, "mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
+        "packets": reading.counts["packets"], "messages": reading.counts["messages"], "calls": call_count,
+        "seconds": duration_s, "mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         "complete": reading.complete,
     }))  # fmt: skip
 
@@ -59,23 +62,26 @@
     parser.add_argument("--read", help=argparse.SUPPRESS)
     args = parser.parse_args()
     if args.read:
-        read_one(args.read)
+        measure_reading(args.read)
         return 0
     with tempfile.TemporaryDirectory() as folder:
         for size in args.mb or [10]:
-            for kind in (*KINDS, "zstd"):
+            for kind in (*TRAFFIC_BY_KIND, "zstd"):
                 path = Path(folder) / kind
-                make(path, "plain" if kind == "zstd" else kind, size * 2**20)
+                write_capture(path, "plain" if kind == "zstd" else kind, size * 2**20)
                 if kind == "zstd":
                     from landingdeal.capture.sink import squeeze
 
                     squeeze(path, "zstd")
                     path = path.with_name(path.name + ".zst")
                 command = [sys.executable, "-m", "benchmarks.captures", "--read", str(path)]
-                told = json.loads(subprocess.run(command, capture_output=True, check=True, text=True).stdout)
-                print(f"{size:5} MB {kind:10} {told['packets'] / told['seconds']:9.0f} packets/s "
-                      f"{told['messages'] / told['seconds']:8.0f} messages/s  {told['mb']:6.1f} MB at most  "
-                      f"{told['calls']} calls, complete: {told['complete']}", flush=True)  # fmt: skip
+                measured = json.loads(
+                    subprocess.run(command, capture_output=True, check=True, text=True).stdout
+                )
+                print(f"{size:5} MB {kind:10} {measured['packets'] / measured['seconds']:9.0f} packets/s "
+                      f"{measured['messages'] / measured['seconds']:8.0f} messages/s  "
+                      f"{measured['mb']:6.1f} MB at most  {measured['calls']} calls, "
+                      f"complete: {measured['complete']}", flush=True)  # fmt: skip
                 path.unlink()
     return 0
 
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -18,11 +18,13 @@
 
 
 def parse_seeds(text: str) -> list[int]:
+    """Reads a seed or a range such as 1-50."""
     first, _, last = text.partition("-")
     return list(range(int(first), int(last or first) + 1))
 
 
 def run_one_trial(seed: int, logs: str) -> int:
+    """Runs a trial, prints its result and returns the exit code."""
     result = run_trial(draw_plan(seed))
     exit_times = ", ".join(f"{ms:.0f}" for ms in result.exits_ms)
     print(
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -19,6 +19,7 @@
 
 
 def plan_for(kind: str, seed: int, core: int | None) -> RoundPlan:
+    """Returns the plan of a round, with a port that differs between neighbouring seeds."""
     return replace(_plan_without_port(kind, seed, core), port=10000 + seed % 9000)
 
 
