--- a/landingdeal/lab/trial/bus.py
+++ b/landingdeal/lab/trial/bus.py
@@ -23,11 +23,13 @@
 
     @property
     def known(self) -> dict[str, Any]:
+        """All events up to now, as the configuration gives them to the program."""
         return {"offset": len(self.events), "batch": [event for event, _ in self.events]}
 
     def add(
         self, endpoints: list[dict[str, Any]], changes: list[HubStatusChange], snapshot: bool = False
     ) -> None:
+        """Appends an event with the next number; `changes` are notified when it is written."""
         offset = len(self.events) + 1
         topology = {"index": offset, "snapshot": snapshot, "endpoints": endpoints}
         self.events.append(({"offset": offset, "topology": topology}, changes))
@@ -57,6 +59,7 @@
         self.loop.call_after(0.005, lambda: self._serve_when_requested(connection, 100))
 
     def _serve_when_requested(self, connection: EmulatedConnection, checks_left: int) -> None:
+        """Waits for the whole request head, then starts the event stream after Last-Event-ID."""
         head, end, _ = connection.received.partition(b"\r\n\r\n")
         if connection.ended or self.unresponsive:
             return
@@ -81,6 +84,7 @@
         self.subscribers.pop(connection, None)
 
     def _send_comments(self) -> None:
+        """Sends a comment to every subscriber at a fixed interval, as a keep-alive."""
         if not self.unresponsive:
             for connection in list(self.subscribers):
                 connection.send(b":\n\n")
@@ -107,6 +111,7 @@
         self.subscribers.clear()
 
     def stop(self) -> None:
+        """Stops listening and resets all connections."""
         if self.listener is not None:
             self.loop.close_listener(self.listener)
             self.listener = None
@@ -115,6 +120,7 @@
         self.subscribers.clear()
 
     def stop_responding(self) -> None:
+        """Keeps connections open but sends nothing more, not even comments."""
         self.unresponsive = True
 
     def recover(self) -> None:
--- a/landingdeal/lab/trial/callers.py
+++ b/landingdeal/lab/trial/callers.py
@@ -84,6 +84,7 @@
         return sock
 
     def connect(self) -> ClientConnection | None:
+        """Opens a connection to the program; returns None if it is refused."""
         sock = self._open_socket()
         if sock is None:
             return None
@@ -121,6 +122,7 @@
         self._write(client, set_up, pieces=1)
 
     def close(self, client: ClientConnection, reset: bool = False) -> None:
+        """Closes a connection as its caller; no answer is required to what is pending on it."""
         for set_up in client.pending.values():
             set_up.exemption = set_up.exemption or "its caller closed the connection"
         client.connection.close(reset)
@@ -130,6 +132,7 @@
     # --- set-ups ---
 
     def start(self) -> None:
+        """Starts to send set-ups as a Poisson process."""
         self.loop.call_after(self.rng.expovariate(self.set_ups_per_s), self._send_next)
 
     def _send_next(self) -> None:
@@ -139,6 +142,7 @@
         self.loop.call_after(self.rng.expovariate(self.set_ups_per_s), self._send_next)
 
     def place_call(self) -> None:
+        """Sends a set-up on a new or an open connection, and sometimes closes an idle one."""
         available = [
             client for client in self.clients if not client.writing_in_pieces and not client.connection.ended
         ]
@@ -156,6 +160,7 @@
                 self.close(self.rng.choice(idle))
 
     def send_set_up(self, client: ClientConnection) -> None:
+        """Sends a new set-up on this connection and applies a behaviour drawn for it."""
         class_name, deadline_s = self.rng.choice(list(self.deadlines_s.items()))
         patience_s = deadline_s if self.rng.random() < 0.7 else self.rng.uniform(0.05, deadline_s)
         set_up = SetUpRequest(f"{self.rng.getrandbits(64):016x}")
@@ -172,6 +177,7 @@
         self._apply_behaviour(client, set_up)
 
     def _write(self, client: ClientConnection, set_up: SetUpRequest, pieces: int) -> None:
+        """Writes the set-up; its deadline counts from its last byte."""
         text, patience_s = self.sent_texts[set_up.call_id]
         client.pending[set_up.call_id] = set_up
 
@@ -272,6 +278,7 @@
     # --- readiness tests and misbehaving callers ---
 
     def send_options(self, client: ClientConnection) -> None:
+        """Sends OPTIONS; a 200 in response sets `ready`."""
         headers = ("call-id", "1"), ("cseq", "1 OPTIONS")
         client.connection.send(encode(request("OPTIONS", "sip:ping@net", *headers)))
 
@@ -293,6 +300,7 @@
         connection.send(self._invalid_data())
 
     def _invalid_data(self) -> bytes:
+        """Draws invalid data, or a copy of a set-up that is pending on another connection."""
         pending_call_ids = [call_id for client in self.clients for call_id in client.pending]
         variant = self.rng.randrange(7)
         if variant == 0:
--- a/landingdeal/lab/trial/hub.py
+++ b/landingdeal/lab/trial/hub.py
@@ -110,6 +110,7 @@
             connection.send(self._bye(call_id, 16))
 
     def connection_ended(self, connection: EmulatedConnection, outcome: str = "closed") -> None:
+        """Ends all attempts of a connection that has ended."""
         if connection in self.connections:
             self.connections.remove(connection)
         for (attempt_connection, _), attempt in list(self.attempts.items()):
@@ -156,6 +157,7 @@
         self.hung = False
 
     def start(self) -> None:
+        """Listens again on the same port after a crash."""
         if self.listener is None:
             self.listener = self.loop.listen(self._accept_after_delay, self.port)
 
--- a/landingdeal/lab/trial/loop.py
+++ b/landingdeal/lab/trial/loop.py
@@ -72,6 +72,7 @@
         listener.close()
 
     def close(self) -> None:
+        """Closes all sockets that are still registered, and the selector."""
         for key in list(self.selector.get_map().values()):
             assert isinstance(key.fileobj, socket.socket)
             key.fileobj.close()
--- a/landingdeal/lab/trial/rules.py
+++ b/landingdeal/lab/trial/rules.py
@@ -37,6 +37,7 @@
 
     @property
     def established(self) -> bool:
+        """Whether a final response below 300 arrived."""
         return any(status < 300 for _, status, _ in self.final_responses)
 
 
@@ -79,9 +80,10 @@
     stop_requested_at: float = 0.0  # SIGTERM
     program_ended_at: float = 0.0
     min_resend_gap_s: float = 0.3
-    max_lag_s: float = 0.0  # the longest time in which the test environment itself handled nothing
+    max_lag_s: float = 0.0  # the longest delay of the test environment's own loop
 
     def add_problem(self, text: str) -> None:
+        """Records a broken rule that a party noticed itself."""
         self.problems.append(text)
 
 
@@ -175,6 +177,7 @@
 
 
 def _check_single_pending(call_id: str, attempts: list[ObservedAttempt], min_gap_s: float) -> list[str]:
+    """Checks that attempts of a set-up do not overlap and that resends keep the minimum gap."""
     violations = []
     by_start = sorted(attempts, key=lambda attempt: attempt.started_at)
     for earlier, later in zip(by_start, by_start[1:], strict=False):
@@ -202,6 +205,7 @@
 
 
 def _check_draining(observations: Observations) -> list[str]:
+    """Checks that no set-up reaches a hub long after it was notified as draining or removed."""
     violations = []
     for number, change in enumerate(observations.changes):
         if change.state == "up":
--- a/tests/rig/restarts.py
+++ b/tests/rig/restarts.py
@@ -7,7 +7,7 @@
 planned restart.
 
 A set-up is `lost` if its connection ends without a whole answer to it. If its last byte was written at most
-50 ms before the end, it counts as `raced_close`: the protocol allows that as long as nothing else is pending.
+50 ms before the end, it counts as `raced_close`: the protocol allows a close while nothing is pending there.
 """
 
 from __future__ import annotations
@@ -58,6 +58,8 @@
 
 @dataclass
 class RoundTally:
+    """The counts of a round, per set-up, and notes on what went wrong."""
+
     sent: int = 0
     answered: int = 0
     refused: int = 0
@@ -66,8 +68,8 @@
     closed_before_use: int = 0  # no response on the connection, and the set-up never reached the hub
     answered_twice: int = 0
     left_pending: int = 0  # the connection was still open at the end of the round
-    exit_ms: float = 0.0
-    code: int | None = None
+    exit_ms: float = 0.0  # from SIGTERM to the exit
+    code: int | None = None  # exit code
     notes: list[str] = field(default_factory=list)
 
     def add(self, other: RoundTally) -> None:
@@ -410,6 +412,7 @@
 
 
 def run_round(plan: RoundPlan, program: list[str] | None = None) -> RoundTally:
+    """Runs one round in a temporary folder; a traceback or a nonzero exit adds the log to the notes."""
     with tempfile.TemporaryDirectory() as folder:
         environment = RestartEnvironment(plan, Path(folder), program)
         try:
