--- a/benchmarks/captures.py
+++ b/benchmarks/captures.py
@@ -16,35 +16,37 @@
 import time
 from pathlib import Path
 
-from landingdeal.capture.encode import PcapFile
-from landingdeal.capture.sample import START_NS, Shape, packets, traffic
+from landingdeal.capture.encode import PcapEncoder
+from landingdeal.capture.sample import START_NS, TrafficProfile, generate_traffic, to_packets
 
 KINDS = {
-    "plain": Shape(calls=2000, per_s=100.0),
-    "fragmented": Shape(calls=2000, per_s=100.0, padding=3000),
-    "tcp": Shape(calls=2000, per_s=100.0, transport="TCP"),
+    "plain": TrafficProfile(calls=2000, per_s=100.0),
+    "fragmented": TrafficProfile(calls=2000, per_s=100.0, padding=3000),
+    "tcp": TrafficProfile(calls=2000, per_s=100.0, transport="TCP"),
 }
 
 
 def make(path: Path, kind: str, size: int) -> None:
     """Blocks of calls, one after another in time, until the file is large enough."""
-    form, at, written, seed = PcapFile(), START_NS, 0, 1
+    form, at, written, seed = PcapEncoder(), START_NS, 0, 1
     with path.open("wb") as file:
         file.write(form.head())
         while written < size:
-            frames = packets(traffic(KINDS[kind], seed, at))
+            frames = to_packets(generate_traffic(KINDS[kind], seed, at))
             data = b"".join(form.record(time_ns, frame) for time_ns, frame in frames)
             file.write(data)
             written, at, seed = written + len(data), frames[-1][0] + 10**9, seed + 1
 
 
 def read_one(path: str) -> None:
-    from landingdeal.capture.calls import Calls
-    from landingdeal.capture.reader import Reading, read
+    from landingdeal.capture.calls import CallTracker
+    from landingdeal.capture.reader import ReadReport, read_messages
 
-    reading, calls = Reading(), Calls()
+    reading, calls = ReadReport(), CallTracker()
     began = time.perf_counter()
-    found = sum(1 for seen in read([path], reading) for _ in calls.feed(seen)) + sum(1 for _ in calls.end())
+    found = sum(1 for seen in read_messages([path], reading) for _ in calls.feed(seen)) + sum(
+        1 for _ in calls.end()
+    )
     span = time.perf_counter() - began
     print(json.dumps({
         "packets": reading.counts["packets"], "messages": reading.counts["messages"], "calls": found,
@@ -67,9 +69,9 @@
                 path = Path(folder) / kind
                 make(path, "plain" if kind == "zstd" else kind, size * 2**20)
                 if kind == "zstd":
-                    from landingdeal.capture.sink import squeeze
+                    from landingdeal.capture.sink import compress_file
 
-                    squeeze(path, "zstd")
+                    compress_file(path, "zstd")
                     path = path.with_name(path.name + ".zst")
                 command = [sys.executable, "-m", "benchmarks.captures", "--read", str(path)]
                 told = json.loads(subprocess.run(command, capture_output=True, check=True, text=True).stdout)
--- a/landingdeal/capture/calls.py
+++ b/landingdeal/capture/calls.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 
 from landingdeal.capture.layers import Address
-from landingdeal.capture.messages import Seen
+from landingdeal.capture.messages import CapturedMessage
 from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
 from landingdeal.sip.message import Message
 
@@ -24,7 +24,7 @@
 REFUSED_MOST = 50_000
 
 
-class Side(StrEnum):
+class Party(StrEnum):
     CALLER = "caller"
     CALLED = "called"
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class LadderMessage:
     """One message of a call, for its ladder. `again`: how often it was repeated."""
 
     time_ns: int
@@ -70,7 +70,7 @@
     ack_ns: int = -1
     cancel_ns: int = -1
     bye_ns: int = -1
-    bye_by: Side | None = None
+    bye_by: Party | None = None
     over_ns: int = -1  # the answer to BYE
     cause: int = 0  # of the Reason of a release (RFC 3326), else 0
     later_ms: float = 0.0  # time to stay away, where the refusal told one
@@ -80,7 +80,7 @@
     begun_before: bool = False
     cut_off: bool = False  # the capture ended before the call did
     invite: Message | None = None
-    steps: list[Step] = field(default_factory=list)
+    steps: list[LadderMessage] = field(default_factory=list)
 
     @property
     def outcome(self) -> Outcome:
@@ -127,7 +127,7 @@
 KEYS_MOST = 256
 
 
-class Calls:
+class CallTracker:
     """`feed` takes messages in order of time and gives the calls that are complete; `end` gives the rest."""
 
     def __init__(self) -> None:
@@ -136,7 +136,7 @@
         self.number = 0
         self.strays = 0  # messages of no call
 
-    def feed(self, seen: Seen) -> Iterator[CallRecord]:
+    def feed(self, seen: CapturedMessage) -> Iterator[CallRecord]:
         message = seen.message
         method = message.cseq[1]
         if method in ("INVITE", "ACK", "BYE", "CANCEL", "UPDATE", "PRACK", "INFO"):
@@ -151,7 +151,7 @@
 
     # --- one message ---
 
-    def _follow(self, seen: Seen, method: str) -> Iterator[CallRecord]:
+    def _follow(self, seen: CapturedMessage, method: str) -> Iterator[CallRecord]:
         message = seen.message
         call = self.open.get(message.call_id)
         new = message.method == "INVITE" and not _tag(message, "to")
@@ -179,7 +179,7 @@
             idle.record.cut_off = not idle.over
             yield idle.record
 
-    def _begin(self, seen: Seen, new: bool) -> _Open:
+    def _begin(self, seen: CapturedMessage, new: bool) -> _Open:
         message = seen.message
         self.number += 1
         source, target = (seen.target, seen.source) if message.status else (seen.source, seen.target)
@@ -199,7 +199,7 @@
         return call
 
     @staticmethod
-    def _repeated(call: _Open, seen: Seen) -> bool:
+    def _repeated(call: _Open, seen: CapturedMessage) -> bool:
         """The same message again: a retransmission, or the same one seen on its next way."""
         message = seen.message
         what = f"{message.status}{_tag(message, 'to')}" if message.status else message.method
@@ -215,21 +215,21 @@
         return False
 
     @staticmethod
-    def _step(call: _Open, seen: Seen) -> None:
+    def _step(call: _Open, seen: CapturedMessage) -> None:
         message = seen.message
         what = f"{message.status} {message.reason}".strip() if message.status else message.method
         if message.status and message.cseq[1] != "INVITE":
             what += f" ({message.cseq[1]})"
         if len(call.record.steps) < STEPS_MOST:
             call.record.steps.append(
-                Step(seen.time_ns, seen.source, seen.target, what, message.cseq[0], seen.place)
+                LadderMessage(seen.time_ns, seen.source, seen.target, what, message.cseq[0], seen.place)
             )
 
-    def _request(self, call: _Open, seen: Seen, method: str) -> None:
+    def _request(self, call: _Open, seen: CapturedMessage, method: str) -> None:
         record, message, now = call.record, seen.message, seen.time_ns
-        by = Side.CALLER if _tag(message, "from") == call.caller_tag else Side.CALLED
+        by = Party.CALLER if _tag(message, "from") == call.caller_tag else Party.CALLED
         match method:
-            case "INVITE" if message.cseq[0] != call.invite_cseq or by is Side.CALLED:
+            case "INVITE" if message.cseq[0] != call.invite_cseq or by is Party.CALLED:
                 record.reinvites.append(now)
             case "ACK" if record.ack_ns < 0 and message.cseq[0] in (call.invite_cseq, -1):
                 record.ack_ns = now
@@ -244,7 +244,7 @@
             case _:
                 pass
 
-    def _response(self, call: _Open, seen: Seen, method: str) -> None:
+    def _response(self, call: _Open, seen: CapturedMessage, method: str) -> None:
         record, message, now = call.record, seen.message, seen.time_ns
         number, status = message.cseq[0], message.status
         if method == "INVITE" and number == call.invite_cseq:
--- a/landingdeal/capture/encode.py
+++ b/landingdeal/capture/encode.py
@@ -40,7 +40,7 @@
 # --- files ---
 
 
-class PcapFile:
+class PcapEncoder:
     """Classic pcap, little-endian, Ethernet; nanoseconds unless told otherwise. A comment is left out."""
 
     suffix = ".pcap"
@@ -57,7 +57,7 @@
         return struct.pack("<IIII", seconds, rest // self.unit, len(frame), len(frame)) + frame
 
 
-class PcapngFile:
+class PcapngEncoder:
     """pcapng with one section and one interface, nanoseconds, little-endian."""
 
     suffix = ".pcapng"
@@ -82,7 +82,7 @@
         return struct.pack("<I", kind) + size + body + size
 
 
-CaptureFile = PcapFile | PcapngFile
+CaptureEncoder = PcapEncoder | PcapngEncoder
 
 
 # --- packets ---
@@ -160,7 +160,7 @@
     open: bool = False
 
 
-class Conversations:
+class PacketBuilder:
     """Exchanges told as packets that any reader can follow.
 
     TCP connections get a handshake, sequence numbers, an acknowledgement of each segment and a FIN from both
--- a/landingdeal/capture/formats.py
+++ b/landingdeal/capture/formats.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from landingdeal.capture.problems import Kind, Problem, Problems
+from landingdeal.capture.problems import Problem, ProblemKind, Problems
 from landingdeal.capture.source import Source
 
 MICRO, NANO = 0xA1B2C3D4, 0xA1B23C4D
@@ -19,7 +19,7 @@
 INTERFACES_MOST = 4096
 
 
-class NotCapture(Exception):
+class NotACapture(Exception):
     """The text says in one line what the file is not."""
 
 
@@ -47,13 +47,16 @@
         self.source, self.problems = source, problems
         self.number = 0
 
-    def tell(self, kind: Kind, detail: str, offset: int, packet: int = 0) -> None:
+    def tell(self, kind: ProblemKind, detail: str, offset: int, packet: int = 0) -> None:
         self.problems.add(Problem(kind, detail, offset, packet, self.source.name))
 
     def ended(self, what: str, offset: int, got: int, wanted: int) -> None:
         why = f"; {self.source.damage}" if self.source.damage else ""
         self.tell(
-            Kind.TRUNCATED_FILE, f"it ends {got} bytes into {what} of {wanted}{why}", offset, self.number + 1
+            ProblemKind.TRUNCATED_FILE,
+            f"it ends {got} bytes into {what} of {wanted}{why}",
+            offset,
+            self.number + 1,
         )
 
     def packet(
@@ -62,11 +65,16 @@
         self.number += 1
         if length < len(data):
             self.tell(
-                Kind.BAD_RECORD, f"{len(data)} bytes are kept of a packet of {length}", offset, self.number
+                ProblemKind.BAD_RECORD,
+                f"{len(data)} bytes are kept of a packet of {length}",
+                offset,
+                self.number,
             )
             length = len(data)
         elif length > len(data):
-            self.tell(Kind.TRUNCATED_PACKET, f"{len(data)} of {length} bytes were kept", offset, self.number)
+            self.tell(
+                ProblemKind.TRUNCATED_PACKET, f"{len(data)} of {length} bytes were kept", offset, self.number
+            )
         return Packet(self.number, offset, time_ns, link, data, length, comment)
 
 
@@ -80,7 +88,7 @@
         self.unit, self.fraction_most = (1, 10**9) if nano else (1000, 10**6)
         rest = source.read(20)
         if len(rest) < 20:
-            raise NotCapture("the capture ends inside its header")
+            raise NotACapture("the capture ends inside its header")
         self.link = struct.unpack_from(self.order + "I", rest, 16)[0] & 0x0FFFFFFF
 
     def __iter__(self) -> Iterator[Packet]:
@@ -94,15 +102,19 @@
                 return
             seconds, fraction, kept, length = head.unpack(raw)
             if kept > RECORD_MOST:
-                self.tell(Kind.BAD_RECORD, f"a record of {kept} bytes; where the next begins can't be told",
-                          offset, self.number + 1)  # fmt: skip
+                self.tell(
+                    ProblemKind.BAD_RECORD, f"a record of {kept} bytes; where the next begins can't be told",
+                    offset, self.number + 1,
+                )  # fmt: skip
                 return
             data = read(kept)
             if len(data) < kept:
                 self.ended("a record", offset, 16 + len(data), 16 + kept)
                 return
             if fraction >= self.fraction_most:
-                self.tell(Kind.BAD_RECORD, f"{fraction} is no part of a second", offset, self.number + 1)
+                self.tell(
+                    ProblemKind.BAD_RECORD, f"{fraction} is no part of a second", offset, self.number + 1
+                )
             yield self.packet(offset, seconds * 10**9 + fraction * self.unit, self.link, data, length)
 
 
@@ -151,15 +163,19 @@
         size = struct.unpack(order + "I", raw[:4])[0] if order else 0
         if not order or size < 28 or size % 4 or size > BLOCK_MOST:
             if not self.sections:
-                raise NotCapture(
+                raise NotACapture(
                     "the capture ends inside its header" if len(raw) < 8 else "no pcapng section"
                 )
-            self.tell(Kind.BAD_RECORD if len(raw) == 8 else Kind.TRUNCATED_FILE, "a section header", offset)
+            self.tell(
+                ProblemKind.BAD_RECORD if len(raw) == 8 else ProblemKind.TRUNCATED_FILE,
+                "a section header",
+                offset,
+            )
             return False
         rest = self.source.read(size - 12)
         if len(rest) < size - 12:
             if not self.sections:
-                raise NotCapture("the capture ends inside its header")
+                raise NotACapture("the capture ends inside its header")
             self.ended("a section header", offset, 12 + len(rest), size)
             return False
         self.order, self.interfaces = order, []
@@ -183,7 +199,9 @@
             kind, size = struct.unpack(self.order + "II", raw)
             if size < 12 or size % 4:
                 self.tell(
-                    Kind.BAD_RECORD, f"a block of {size} bytes; where the next begins can't be told", offset
+                    ProblemKind.BAD_RECORD,
+                    f"a block of {size} bytes; where the next begins can't be told",
+                    offset,
                 )
                 return
             if size > BLOCK_MOST or kind not in (INTERFACE, OLD_PACKET, SIMPLE, ENHANCED):
@@ -196,11 +214,11 @@
                 self.ended("a block", offset, 8 + len(body), size)
                 return
             if struct.unpack(self.order + "I", body[-4:])[0] != size:
-                self.tell(Kind.BAD_RECORD, f"a block's two lengths differ ({size})", offset)
+                self.tell(ProblemKind.BAD_RECORD, f"a block's two lengths differ ({size})", offset)
             try:
                 packet = self._block(kind, body[:-4], offset)
             except (struct.error, IndexError, ValueError) as error:
-                self.tell(Kind.BAD_RECORD, f"a block of type {kind}: {error}", offset)
+                self.tell(ProblemKind.BAD_RECORD, f"a block of type {kind}: {error}", offset)
                 continue
             if packet is not None:
                 yield packet
@@ -255,7 +273,7 @@
     """Raises NotCapture where the file is none."""
     magic = source.read(4)
     if len(magic) < 4:
-        raise NotCapture(
+        raise NotACapture(
             "the capture ends inside its header" if magic or source.damage else "the file is empty"
         )
     known = {struct.pack(order + "I", number) for order in "<>" for number in (MICRO, NANO)}
@@ -263,4 +281,4 @@
         return Classic(source, problems, magic)
     if struct.unpack("<I", magic)[0] == SECTION:
         return Pcapng(source, problems)
-    raise NotCapture("neither pcap nor pcapng")
+    raise NotACapture("neither pcap nor pcapng")
--- a/landingdeal/capture/messages.py
+++ b/landingdeal/capture/messages.py
@@ -20,7 +20,7 @@
     ip_of,
     transport_of,
 )
-from landingdeal.capture.problems import Kind, Problem, Problems
+from landingdeal.capture.problems import Problem, ProblemKind, Problems
 from landingdeal.capture.streams import Bytes, Conflict, Ended, Event, Streams
 from landingdeal.sip.message import (
     MAX_MESSAGE,
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class CapturedMessage:
     """One SIP message as it passed. `time_ns`: that of the last packet that it needed."""
 
     time_ns: int
@@ -76,7 +76,7 @@
         self.held = b""
 
 
-class Messages:
+class MessageExtractor:
     """Feeds packets through fragments and streams; tells what is wrong to `problems`, and counts the rest."""
 
     def __init__(self, problems: Problems, file: str = "", strict_checksums: bool = False) -> None:
@@ -87,12 +87,12 @@
         self.last_ns = self.first_ns = 0
         self._place: Place = (-1, 0)
 
-    def run(self, packets: Iterable[Packet]) -> Iterator[Seen]:
+    def run(self, packets: Iterable[Packet]) -> Iterator[CapturedMessage]:
         for packet in packets:
             yield from self.feed(packet)
         yield from self.end()
 
-    def feed(self, packet: Packet) -> Iterator[Seen]:
+    def feed(self, packet: Packet) -> Iterator[CapturedMessage]:
         self._place = place = packet.offset, packet.number
         self.counts["packets"] += 1
         self.counts["bytes"] += len(packet.data)
@@ -115,30 +115,30 @@
             self.counts[str(why)] += 1
         except BadPacket as why:
             if packet.length == len(packet.data):  # else the cut has been told already
-                self._tell(Kind.BAD_RECORD, str(why), place)
+                self._tell(ProblemKind.BAD_RECORD, str(why), place)
 
-    def end(self) -> Iterator[Seen]:
+    def end(self) -> Iterator[CapturedMessage]:
         self.fragments.end()
         self._lost_fragments()
         for ends, event in self.streams.end(self._place):
             yield from self._event(ends, event)
 
-    def _tell(self, kind: Kind, detail: str, place: Place) -> None:
+    def _tell(self, kind: ProblemKind, detail: str, place: Place) -> None:
         self.problems.add(Problem(kind, detail, *place, self.file))
 
     def _lost_fragments(self) -> None:
         for lost in self.fragments.lost:
-            kind = Kind.FRAGMENT_OVERLAP if lost.overlap else Kind.FRAGMENT_MISSING
+            kind = ProblemKind.FRAGMENT_OVERLAP if lost.overlap else ProblemKind.FRAGMENT_MISSING
             self._tell(kind, lost.why, lost.place)
         self.fragments.lost.clear()
 
-    def _whole(self, ip: Ip, time_ns: int, place: Place) -> Iterator[Seen]:
+    def _whole(self, ip: Ip, time_ns: int, place: Place) -> Iterator[CapturedMessage]:
         made = transport_of(ip)
         made_sum = Sum.ABSENT if ip.short else made.sum  # of what was cut it can't be told
         if made_sum is not Sum.GOOD:
             self.counts[f"checksum {made_sum.value}"] += 1
         if made_sum is Sum.WRONG and (self.strict or looks_like_sip(made.payload)):
-            self._tell(Kind.BAD_CHECKSUM, f"{made.source[0]} to {made.target[0]}", place)
+            self._tell(ProblemKind.BAD_CHECKSUM, f"{made.source[0]} to {made.target[0]}", place)
             if self.strict:
                 return
         if isinstance(made, Segment):
@@ -147,13 +147,13 @@
         else:
             yield from self._datagram(made, ip.short, time_ns, place)
 
-    def _datagram(self, made: Datagram, short: int, time_ns: int, place: Place) -> Iterator[Seen]:
+    def _datagram(self, made: Datagram, short: int, time_ns: int, place: Place) -> Iterator[CapturedMessage]:
         if not made.payload.strip(b"\r\n\0"):
             self.counts["keep-alives"] += 1
         elif not looks_like_sip(made.payload):
             self.counts["other payloads"] += 1
         elif len(made.payload) > 65536:
-            self._tell(Kind.MALFORMED_MESSAGE, "over 64 KiB", place)
+            self._tell(ProblemKind.MALFORMED_MESSAGE, "over 64 KiB", place)
         else:
             yield from self._message(
                 "UDP", (made.source, made.target), decode_datagram(made.payload), time_ns, place
@@ -161,19 +161,21 @@
 
     def _message(
         self, transport: str, ends: Ends, message: Message | Malformed, time_ns: int, place: Place
-    ) -> Iterator[Seen]:
+    ) -> Iterator[CapturedMessage]:
         if isinstance(message, Malformed):
-            self._tell(Kind.MALFORMED_MESSAGE, message.why, place)
+            self._tell(ProblemKind.MALFORMED_MESSAGE, message.why, place)
             return
         self.counts["messages"] += 1
-        yield Seen(time_ns, transport, *ends, message, place, self.file)
+        yield CapturedMessage(time_ns, transport, *ends, message, place, self.file)
 
     # --- streams ---
 
-    def _event(self, ends: Ends, event: Event) -> Iterator[Seen]:
+    def _event(self, ends: Ends, event: Event) -> Iterator[CapturedMessage]:
         if isinstance(event, Conflict):
             self._tell(
-                Kind.TCP_CONFLICT, f"byte {event.at} of {_way(ends)}: {event.size} bytes differ", event.place
+                ProblemKind.TCP_CONFLICT,
+                f"byte {event.at} of {_way(ends)}: {event.size} bytes differ",
+                event.place,
             )
             return
         direction = self.directions.get(ends)
@@ -188,11 +190,13 @@
                 self.directions.popitem(last=False)
         if event.gap:
             if direction.searched <= FOREIGN_MOST and not (direction.lost and direction.searched):
-                self._tell(Kind.TCP_GAP, f"{event.gap} bytes of {_way(ends)} are not there", event.place)
+                self._tell(
+                    ProblemKind.TCP_GAP, f"{event.gap} bytes of {_way(ends)} are not there", event.place
+                )
             direction.framer, direction.lost, direction.held = Framer(), True, b""
         yield from self._bytes(direction, ends, event)
 
-    def _bytes(self, direction: _Direction, ends: Ends, event: Bytes) -> Iterator[Seen]:
+    def _bytes(self, direction: _Direction, ends: Ends, event: Bytes) -> Iterator[CapturedMessage]:
         data = event.data
         while data:
             if direction.lost:
@@ -209,7 +213,7 @@
             for message in made:
                 yield from self._message("TCP", ends, message, event.time_ns, event.place)
             if broken:
-                self._tell(Kind.MALFORMED_MESSAGE, broken, event.place)
+                self._tell(ProblemKind.MALFORMED_MESSAGE, broken, event.place)
                 rest = direction.framer.held
                 _, _, data = rest.partition(b"\n")  # past the start line that led nowhere
                 direction.framer, direction.lost, direction.held = Framer(), True, b""
@@ -229,7 +233,7 @@
         left = direction.framer.held.strip(b"\r\n")
         if not direction.lost and left:
             what = f"{_way(ends)} ends ({event.how}) {len(left)} bytes into a message"
-            kind = Kind.TCP_GAP if event.how == "the capture ends" else Kind.MALFORMED_MESSAGE
+            kind = ProblemKind.TCP_GAP if event.how == "the capture ends" else ProblemKind.MALFORMED_MESSAGE
             self._tell(kind, what, event.place)
 
 
@@ -238,4 +242,4 @@
     return f"{source}:{source_port} to {target}:{target_port}"
 
 
-__all__ = ["MAX_MESSAGE", "Messages", "Seen", "looks_like_sip"]
+__all__ = ["MAX_MESSAGE", "CapturedMessage", "MessageExtractor", "looks_like_sip"]
--- a/landingdeal/capture/plan.py
+++ b/landingdeal/capture/plan.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, replace
 
-from landingdeal.capture.calls import CallRecord, Outcome, Side
+from landingdeal.capture.calls import CallRecord, Outcome, Party
 from landingdeal.capture.retries import Policy
 from landingdeal.sip.message import Message
 
@@ -71,9 +71,9 @@
     cancel = (call.cancel_ns - call.invite_ns) / 1e6 if call.cancel_ns >= 0 else -1.0
     hold = -1.0
     if call.outcome is Outcome.STOOD:
-        if call.bye_by is Side.CALLER:
+        if call.bye_by is Party.CALLER:
             hold = call.hold_ms
-        elif call.bye_by is Side.CALLED:
+        elif call.bye_by is Party.CALLED:
             hold = call.hold_ms + shape.linger_ms  # it is for the other side to end it; else we do
         else:
             hold = shape.linger_ms  # its end is not in the capture
--- a/landingdeal/capture/problems.py
+++ b/landingdeal/capture/problems.py
@@ -9,7 +9,7 @@
 KEPT_MOST = 10_000  # problems told one by one; all of them are counted
 
 
-class Kind(StrEnum):
+class ProblemKind(StrEnum):
     TRUNCATED_FILE = "truncated-file"  # it ends inside a record
     TRUNCATED_PACKET = "truncated-packet"  # cut by the snap length of whoever captured
     BAD_RECORD = "bad-record"  # lengths or fields that can't be
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    kind: Kind
+    kind: ProblemKind
     detail: str
     offset: int = -1  # in the file as it is without compression, in bytes; -1 where it has no one place
     packet: int = 0  # the first is 1; 0 where there is none
@@ -41,7 +41,7 @@
 
     def __init__(self) -> None:
         self.kept: list[Problem] = []
-        self.counts: Counter[Kind] = Counter()
+        self.counts: Counter[ProblemKind] = Counter()
 
     def add(self, problem: Problem) -> None:
         self.counts[problem.kind] += 1
--- a/landingdeal/capture/reader.py
+++ b/landingdeal/capture/reader.py
@@ -8,16 +8,16 @@
 from contextlib import ExitStack
 from dataclasses import dataclass, field
 
-from landingdeal.capture.formats import NotCapture, records
-from landingdeal.capture.messages import Messages, Seen
-from landingdeal.capture.problems import Kind, Problem, Problems
+from landingdeal.capture.formats import NotACapture, records
+from landingdeal.capture.messages import CapturedMessage, MessageExtractor
+from landingdeal.capture.problems import Problem, ProblemKind, Problems
 from landingdeal.capture.source import Source, open_source
 
 LATE_NS = 1_000 * 10**6  # within one file, messages are put in order of time over so much of it
 
 
 @dataclass
-class Reading:
+class ReadReport:
     """What one pass found out beside the messages."""
 
     problems: Problems = field(default_factory=Problems)
@@ -31,7 +31,9 @@
         return not len(self.problems)
 
 
-def read(paths: Sequence[str], reading: Reading, strict_checksums: bool = False) -> Iterator[Seen]:
+def read_messages(
+    paths: Sequence[str], reading: ReadReport, strict_checksums: bool = False
+) -> Iterator[CapturedMessage]:
     """The messages of all files in order of time. Raises OSError; what is no capture is a problem."""
     with ExitStack() as stack:
         ways = []
@@ -45,12 +47,12 @@
             yield from heapq.merge(*ways, key=lambda seen: seen.time_ns)
 
 
-def _one(source: Source, reading: Reading, strict: bool) -> Iterator[Seen]:
-    messages = Messages(reading.problems, source.name, strict)
+def _one(source: Source, reading: ReadReport, strict: bool) -> Iterator[CapturedMessage]:
+    messages = MessageExtractor(reading.problems, source.name, strict)
     try:
         yield from messages.run(records(source, reading.problems))
-    except NotCapture as error:
-        reading.problems.add(Problem(Kind.NOT_A_CAPTURE, str(error), 0, 0, source.name))
+    except NotACapture as error:
+        reading.problems.add(Problem(ProblemKind.NOT_A_CAPTURE, str(error), 0, 0, source.name))
     finally:
         reading.counts.update(messages.counts)
         if messages.counts["packets"]:
@@ -58,9 +60,9 @@
             reading.first_ns, reading.last_ns = first, max(reading.last_ns, messages.last_ns)
 
 
-def _ordered(messages: Iterator[Seen]) -> Iterator[Seen]:
+def _ordered(messages: Iterator[CapturedMessage]) -> Iterator[CapturedMessage]:
     """In order of time, as far as packets of one file lie at most `LATE_NS` out of it."""
-    held: list[tuple[int, int, Seen]] = []
+    held: list[tuple[int, int, CapturedMessage]] = []
     newest, number = 0, 0
     for seen in messages:
         newest, number = max(newest, seen.time_ns), number + 1
--- a/landingdeal/capture/repair.py
+++ b/landingdeal/capture/repair.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 
 from landingdeal.capture.formats import records
-from landingdeal.capture.problems import Kind, Problems
+from landingdeal.capture.problems import ProblemKind, Problems
 from landingdeal.capture.source import GZIP, ZSTD, Source, open_source
 from landingdeal.errors import ConfigError
 
 CHUNK = 1024 * 1024
-TAIL = (Kind.TRUNCATED_FILE, Kind.BAD_RECORD)
+TAIL = (ProblemKind.TRUNCATED_FILE, ProblemKind.BAD_RECORD)
 
 
 @dataclass(frozen=True, slots=True)
--- a/landingdeal/capture/rewrite.py
+++ b/landingdeal/capture/rewrite.py
@@ -10,18 +10,18 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import replace
 
-from landingdeal.capture.encode import CaptureFile, Conversations
+from landingdeal.capture.encode import CaptureEncoder, PacketBuilder
 from landingdeal.capture.layers import Address
-from landingdeal.capture.messages import Seen
+from landingdeal.capture.messages import CapturedMessage
 from landingdeal.sip.message import Message, encode
 
-Keep = Callable[[Seen], bool]
+Keep = Callable[[CapturedMessage], bool]
 
 
-def written(messages: Iterable[Seen], form: CaptureFile) -> Iterator[bytes]:
+def written(messages: Iterable[CapturedMessage], form: CaptureEncoder) -> Iterator[bytes]:
     """A capture file of these messages, in pieces."""
     yield form.head()
-    conversations, last = Conversations(), 0
+    conversations, last = PacketBuilder(), 0
     for seen in messages:
         put = conversations.datagram if seen.transport == "UDP" else conversations.stream
         for number, frame in enumerate(put(seen.source, seen.target, encode(seen.message))):
@@ -133,6 +133,6 @@
         uri = self.value(message.uri) if message.uri else ""
         return replace(message, uri=uri, headers=tuple(headers), body=body)
 
-    def seen(self, seen: Seen) -> Seen:
+    def seen(self, seen: CapturedMessage) -> CapturedMessage:
         source, target = self.address(seen.source), self.address(seen.target)
         return replace(seen, source=source, target=target, message=self.message(seen.message))
--- a/landingdeal/capture/rotation.py
+++ b/landingdeal/capture/rotation.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class RotationLimits:
     """0: without that bound."""
 
     file_bytes: int = 64 * 1024 * 1024
@@ -16,14 +16,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closed:
+class ClosedFile:
     """A file that is no longer written, the newest with the highest number."""
 
     number: int
     size: int
 
 
-def full(bounds: Bounds, size: int, opened_ms: float, now_ms: float, more: int) -> bool:
+def full(bounds: RotationLimits, size: int, opened_ms: float, now_ms: float, more: int) -> bool:
     """Whether `more` bytes go to a new file. A file that holds nothing yet takes any record."""
     if size <= 0:
         return False
@@ -31,7 +31,7 @@
     return too_large or 0 < bounds.file_ms <= now_ms - opened_ms
 
 
-def to_remove(bounds: Bounds, closed: Sequence[Closed], open_size: int) -> list[int]:
+def to_remove(bounds: RotationLimits, closed: Sequence[ClosedFile], open_size: int) -> list[int]:
     """Numbers of closed files that go, the oldest first; the open one never does."""
     if bounds.total_bytes <= 0:
         return []
--- a/landingdeal/capture/sample.py
+++ b/landingdeal/capture/sample.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from landingdeal.capture.encode import CaptureFile, Conversations
+from landingdeal.capture.encode import CaptureEncoder, PacketBuilder
 from landingdeal.capture.layers import Address
 from landingdeal.sip.message import Message, encode, request, response
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SampleMessage:
     """One message as it passes."""
 
     time_ns: int
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class TrafficProfile:
     """What calls look like. Times in milliseconds; parts are shares of all calls."""
 
     calls: int = 20
@@ -46,7 +46,9 @@
     padding: int = 0  # bytes more in each description
 
 
-def call(number: int, at_ns: int, shape: Shape, random_: random.Random) -> Iterator[Sent]:
+def call_messages(
+    number: int, at_ns: int, shape: TrafficProfile, random_: random.Random
+) -> Iterator[SampleMessage]:
     """The messages of one call, in order of time."""
     caller: Address = (f"127.0.{2 + number // 20000 % 200}.1", 10000 + number % 20000)
     called = random_.choice(shape.numbers) + f"{random_.randrange(1000):03d}"
@@ -65,9 +67,9 @@
             body=body,
         )  # fmt: skip
 
-    def out(ms: float, message: Message, back: bool = False) -> Sent:
+    def out(ms: float, message: Message, back: bool = False) -> SampleMessage:
         ends = (shape.to, caller) if back else (caller, shape.to)
-        return Sent(at_ns + round(ms * 1e6), shape.transport, *ends, message)
+        return SampleMessage(at_ns + round(ms * 1e6), shape.transport, *ends, message)
 
     def answer(to: Message, status: int, *more: tuple[str, str], body: bytes = b"") -> Message:
         made = response(to, status, *more, body=body)
@@ -116,20 +118,20 @@
         yield out(ends + 1, answer(bye, 200), True)
 
 
-def traffic(shape: Shape, seed: int = 1, start_ns: int = START_NS) -> list[Sent]:
+def generate_traffic(shape: TrafficProfile, seed: int = 1, start_ns: int = START_NS) -> list[SampleMessage]:
     """All messages of all calls, in order of time; arrivals at exponential distances."""
     random_ = random.Random(seed)
-    at, made = float(start_ns), list[Sent]()
+    at, made = float(start_ns), list[SampleMessage]()
     for number in range(1, shape.calls + 1):
-        made.extend(call(number, round(at), shape, random_))
+        made.extend(call_messages(number, round(at), shape, random_))
         at += random_.expovariate(shape.per_s) * 1e9
     made.sort(key=lambda sent: sent.time_ns)
     return made
 
 
-def packets(messages: Sequence[Sent], end: bool = True) -> list[tuple[int, bytes]]:
+def to_packets(messages: Sequence[SampleMessage], end: bool = True) -> list[tuple[int, bytes]]:
     """The messages as frames with their times, TCP as whole connections."""
-    conversations, made = Conversations(), list[tuple[int, bytes]]()
+    conversations, made = PacketBuilder(), list[tuple[int, bytes]]()
     for sent in messages:
         put = conversations.datagram if sent.transport == "UDP" else conversations.stream
         # packets of one message lie a microsecond apart
@@ -140,5 +142,5 @@
     return made
 
 
-def capture_file(frames: Sequence[tuple[int, bytes]], form: CaptureFile) -> bytes:
+def encode_capture(frames: Sequence[tuple[int, bytes]], form: CaptureEncoder) -> bytes:
     return form.head() + b"".join(form.record(at, frame) for at, frame in frames)
--- a/landingdeal/capture/settings.py
+++ b/landingdeal/capture/settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from landingdeal.capture.rotation import Bounds
+from landingdeal.capture.rotation import RotationLimits
 from landingdeal.errors import ConfigError
 
 
@@ -27,7 +27,7 @@
 
     read: tuple[str, ...] = ()
     write: Path | None = None
-    bounds: Bounds = Bounds()  # noqa: RUF009 (frozen)
+    bounds: RotationLimits = RotationLimits()  # noqa: RUF009 (frozen)
     compress: str = ""
 
 
@@ -43,6 +43,8 @@
     if 0 < told.total_mb < told.file_mb or told.file_mb == 0 < told.total_mb:
         raise ConfigError("sip.capture.total_mb is less than one file may hold")
     read = (told.read,) if isinstance(told.read, str) else tuple(told.read)
-    bounds = Bounds(round(told.file_mb * 2**20), told.file_minutes * 60_000, round(told.total_mb * 2**20))
+    bounds = RotationLimits(
+        round(told.file_mb * 2**20), told.file_minutes * 60_000, round(told.total_mb * 2**20)
+    )
     write = Path(told.write) if told.write else None
     return CaptureSettings(tuple(filter(None, read)), write, bounds, told.compress)
--- a/landingdeal/capture/sink.py
+++ b/landingdeal/capture/sink.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from landingdeal.capture.encode import CaptureFile, Conversations, PcapFile, PcapngFile
+from landingdeal.capture.encode import CaptureEncoder, PacketBuilder, PcapEncoder, PcapngEncoder
 from landingdeal.capture.layers import Address
-from landingdeal.capture.rotation import Bounds, Closed, full, to_remove
+from landingdeal.capture.rotation import ClosedFile, RotationLimits, full, to_remove
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.log import say
 from landingdeal.sip.message import Message, encode
@@ -44,23 +44,23 @@
     reset: bool = False
 
 
-class Sink:
+class CaptureWriter:
     """`passed` and `closed` from any thread; `end` writes what waits and closes."""
 
-    def __init__(self, path: Path, bounds: Bounds = Bounds(), compress: str = "") -> None:  # noqa: B008
+    def __init__(self, path: Path, bounds: RotationLimits = RotationLimits(), compress: str = "") -> None:  # noqa: B008
         self.path, self.bounds, self.compress = path, bounds, compress
-        self.form: CaptureFile = PcapngFile() if ".pcapng" in path.name else PcapFile()
+        self.form: CaptureEncoder = PcapngEncoder() if ".pcapng" in path.name else PcapEncoder()
         self.queue: queue.Queue[Passed | None] = queue.Queue(WAITING_MOST)
         self.left_out = 0  # messages for which there was no room in the queue
         self.failed = 0  # and those that the disk did not take
         self.written = 0
-        self.conversations = Conversations()
+        self.conversations = PacketBuilder()
         self.classes: OrderedDict[str, str] = OrderedDict()
         self.file: BinaryIO | None = None
         self.size, self.opened_ms, self.last_ns = 0, 0.0, 0
         self.shut_until_ms = float("-inf")
         self.number = 0
-        self.closed_files: list[Closed] = []
+        self.closed_files: list[ClosedFile] = []
         self.ended = threading.Event()
         self._open()
         start_thread("capture-writer", self._run)
@@ -186,7 +186,7 @@
             self.path.rename(moved)
         except OSError:
             return None
-        self.closed_files.append(Closed(self.number, size))
+        self.closed_files.append(ClosedFile(self.number, size))
         return moved
 
     def _numbered(self, number: int) -> Path:
@@ -195,7 +195,7 @@
 
     def _rotate(self) -> None:
         moved = self._close()
-        self.conversations = Conversations()  # each file tells its connections whole
+        self.conversations = PacketBuilder()  # each file tells its connections whole
         try:
             self._open()
         except OSError as error:
@@ -210,7 +210,7 @@
                 path.unlink(missing_ok=True)
 
     def _squeeze(self, path: Path, number: int) -> None:
-        squeeze(path, self.compress)
+        compress_file(path, self.compress)
         if all(file.number != number for file in self.closed_files):  # it had to go meanwhile
             with_suffix(path, self.compress).unlink(missing_ok=True)
 
@@ -222,7 +222,7 @@
     return path.with_name(path.name + SUFFIXES[how])
 
 
-def squeeze(path: Path, how: str) -> None:
+def compress_file(path: Path, how: str) -> None:
     """Compresses a closed file in place; the old one goes only when the new one is whole."""
     made = with_suffix(path, how)
     part = made.with_name(made.name + ".part")
@@ -244,7 +244,7 @@
             part.unlink(missing_ok=True)
 
 
-def wait_written(sink: Sink, deadline_ms: float) -> bool:
+def wait_written(sink: CaptureWriter, deadline_ms: float) -> bool:
     """Whether all that was told by now has been written or counted; for tests and the end of commands."""
     while sink.queue.qsize() and now_ms() < deadline_ms:
         time.sleep(seconds_until(min(now_ms() + 5, deadline_ms)))
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -14,9 +14,9 @@
 
 import click
 
-from landingdeal.capture.calls import CallRecord, Calls
-from landingdeal.capture.problems import Kind
-from landingdeal.capture.reader import Reading, read
+from landingdeal.capture.calls import CallRecord, CallTracker
+from landingdeal.capture.problems import ProblemKind
+from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.capture.retries import Policy
 from landingdeal.capture.views import FIELDS, as_row, call_table, ladder_of
 from landingdeal.commands.main import CAN_NOT, FOUND
@@ -32,14 +32,14 @@
     """Read, check and look into captures: pcap and pcapng, plain, gzip or zstd; `-` is standard input."""
 
 
-def calls_of(files: tuple[str, ...], reading: Reading, strict: bool) -> Iterator[CallRecord]:
-    calls = Calls()
-    for seen in read(files, reading, strict):
+def calls_of(files: tuple[str, ...], reading: ReadReport, strict: bool) -> Iterator[CallRecord]:
+    calls = CallTracker()
+    for seen in read_messages(files, reading, strict):
         yield from calls.feed(seen)
     yield from calls.end()
 
 
-def told(reading: Reading, calls: int) -> dict[str, Any]:
+def told(reading: ReadReport, calls: int) -> dict[str, Any]:
     """What `check --json` prints."""
     problems = [
         {"kind": p.kind.value, "offset": p.offset, "packet": p.packet, "detail": p.detail, "file": p.file}
@@ -53,9 +53,9 @@
     }  # fmt: skip
 
 
-def code_of(reading: Reading) -> int:
+def code_of(reading: ReadReport) -> int:
     """2 where nothing could be read since a file is no capture; 1 with other problems."""
-    if reading.problems.counts[Kind.NOT_A_CAPTURE] and not reading.counts["packets"]:
+    if reading.problems.counts[ProblemKind.NOT_A_CAPTURE] and not reading.counts["packets"]:
         return CAN_NOT
     return 0 if reading.complete else FOUND
 
@@ -67,7 +67,7 @@
 @click.pass_context
 def check(ctx: click.Context, files: tuple[str, ...], strict_checksums: bool, as_json: bool) -> None:
     """Say everything that is wrong with captures. Exit code 1 where anything is."""
-    reading = Reading()
+    reading = ReadReport()
     calls = sum(1 for _ in calls_of(files, reading, strict_checksums))
     if as_json:
         click.echo(json.dumps(told(reading, calls)))
@@ -90,7 +90,7 @@
 @click.pass_context
 def info(ctx: click.Context, files: tuple[str, ...], as_json: bool) -> None:
     """Say what captures hold: span of time, packets, calls by outcome and class."""
-    reading = Reading()
+    reading = ReadReport()
     outcomes: Counter[str] = Counter()
     classes: Counter[str] = Counter()
     again = marked = 0
@@ -125,7 +125,7 @@
 @click.pass_context
 def calls(ctx: click.Context, files: tuple[str, ...], as_csv: bool, as_json: bool) -> None:
     """List the calls, one a line."""
-    reading = Reading()
+    reading = ReadReport()
     found = calls_of(files, reading, False)
     if as_json:
         for call in found:  # one object a line: memory does not grow with the file
@@ -176,7 +176,7 @@
     from landingdeal.capture.replay import Replay
     from landingdeal.capture.results import rows, summary
 
-    reading, left = Reading(), Left({})
+    reading, left = ReadReport(), Left({})
     shape = Shape(given["speed"], given["scale"], seed=given["seed"], retries=Policy(given["retries"]),
                   transport=(transport or "").upper())  # fmt: skip
     found = chosen(files, reading, given["where"], given["from_s"], given["until_s"])
@@ -202,7 +202,7 @@
 
 
 def chosen(
-    files: tuple[str, ...], reading: Reading, where: str, from_s: float, until_s: float | None
+    files: tuple[str, ...], reading: ReadReport, where: str, from_s: float, until_s: float | None
 ) -> Iterator[CallRecord]:
     """The calls of a span of time and of a filter."""
     from landingdeal.capture.language import parse
@@ -221,7 +221,7 @@
 @click.pass_context
 def ladder(ctx: click.Context, call: str, files: tuple[str, ...]) -> None:
     """Draw the ladder of one CALL, named by its number or its Call-ID."""
-    reading = Reading()
+    reading = ReadReport()
     for found in calls_of(files, reading, False):
         if call in (found.call_id, str(found.number)):
             for line in ladder_of(found):
--- a/landingdeal/commands/capture_files.py
+++ b/landingdeal/commands/capture_files.py
@@ -11,9 +11,9 @@
 
 import click
 
-from landingdeal.capture.encode import CaptureFile, PcapFile, PcapngFile
-from landingdeal.capture.messages import Seen
-from landingdeal.capture.reader import Reading, read
+from landingdeal.capture.encode import CaptureEncoder, PcapEncoder, PcapngEncoder
+from landingdeal.capture.messages import CapturedMessage
+from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.commands.capture import FILES, JSON, calls_of, capture, code_of
 from landingdeal.commands.main import CAN_NOT, FOUND
 
@@ -21,11 +21,11 @@
 IN = click.argument("file", type=click.Path(path_type=Path))
 
 
-def form_of(path: Path) -> CaptureFile:
-    return PcapngFile() if ".pcapng" in path.name else PcapFile()
+def form_of(path: Path) -> CaptureEncoder:
+    return PcapngEncoder() if ".pcapng" in path.name else PcapEncoder()
 
 
-def write(out: Path, messages: Iterable[Seen]) -> None:
+def write(out: Path, messages: Iterable[CapturedMessage]) -> None:
     """Written beside and renamed: a command that is stopped leaves no half of a file."""
     from landingdeal.capture.rewrite import written
 
@@ -49,15 +49,15 @@
     """Write the calls that a filter lets through to another capture."""
     from landingdeal.capture.language import parse
 
-    test, reading = parse(where), Reading()
+    test, reading = parse(where), ReadReport()
     spans: dict[str, list[tuple[int, int]]] = {}
     for call in calls_of((str(file),), reading, False):
         if test(call):
             last = max([call.start_ns, call.over_ns, *(step.time_ns for step in call.steps)])
             spans.setdefault(call.call_id, []).append((call.start_ns, last))
 
-    def kept() -> Iterator[Seen]:
-        for seen in read([str(file)], Reading()):
+    def kept() -> Iterator[CapturedMessage]:
+        for seen in read_messages([str(file)], ReadReport()):
             if any(low <= seen.time_ns <= high for low, high in spans.get(seen.message.call_id, ())):
                 yield seen
 
@@ -72,8 +72,8 @@
 @click.pass_context
 def merge(ctx: click.Context, files: tuple[str, ...], out: Path) -> None:
     """Write the messages of several captures, in order of time, to one."""
-    reading = Reading()
-    write(out, read(files, reading))
+    reading = ReadReport()
+    write(out, read_messages(files, reading))
     click.echo(f"{reading.counts['messages']} messages of {len(files)} captures to {out}")
     ctx.exit(code_of(reading))
 
@@ -87,8 +87,8 @@
     """Replace names, numbers and addresses, consistently; what is not SIP is left out."""
     from landingdeal.capture.rewrite import Scrubber
 
-    scrubber, reading = Scrubber(key), Reading()
-    write(out, map(scrubber.seen, read([str(file)], reading)))
+    scrubber, reading = Scrubber(key), ReadReport()
+    write(out, map(scrubber.seen, read_messages([str(file)], reading)))
     click.echo(f"{reading.counts['messages']} messages to {out}")
     ctx.exit(code_of(reading))
 
@@ -98,12 +98,12 @@
 @OUT
 def repair(file: Path, out: Path) -> None:
     """Cut a damaged tail off: all that is whole is kept."""
-    from landingdeal.capture.formats import NotCapture
+    from landingdeal.capture.formats import NotACapture
     from landingdeal.capture.repair import repair as cut
 
     try:
         done = cut(file, out)
-    except NotCapture as error:
+    except NotACapture as error:
         raise click.ClickException(f"{file}: {error}") from None
     what = f"cut {done.cut} bytes: {done.why}" if done.why else "nothing to cut"
     click.echo(f"{out}: {done.packets} packets, {done.kept} bytes; {what}")
@@ -120,7 +120,7 @@
     from landingdeal.capture.compare import shifts
     from landingdeal.capture.results import quantile
 
-    readings = Reading(), Reading()
+    readings = ReadReport(), ReadReport()
     made = compared(calls_of((str(a),), readings[0], False), calls_of((str(b),), readings[1], False))
     later: dict[str, list[float]] = {name: values for name, values in shifts(made).items() if values}
     told: dict[str, Any] = {
--- a/landingdeal/lab/demo.py
+++ b/landingdeal/lab/demo.py
@@ -15,15 +15,15 @@
 from pathlib import Path
 from typing import Any
 
-from landingdeal.capture.calls import Calls
-from landingdeal.capture.encode import PcapngFile
+from landingdeal.capture.calls import CallTracker
+from landingdeal.capture.encode import PcapngEncoder
 from landingdeal.capture.plan import Left, Shape, plan
 from landingdeal.capture.player import Result
-from landingdeal.capture.reader import Reading, read
+from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.capture.replay import Replay, Report
 from landingdeal.capture.results import last_tries, rows
-from landingdeal.capture.sample import Shape as Traffic
-from landingdeal.capture.sample import capture_file, packets, traffic
+from landingdeal.capture.sample import TrafficProfile as Traffic
+from landingdeal.capture.sample import encode_capture, generate_traffic, to_packets
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
 from landingdeal.lab.answerer import Answerer, Behaviour
@@ -154,10 +154,12 @@
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             capture = folder / "sample.pcapng"
-            made = traffic(Traffic(calls, per_s, hold_ms=(300.0, 1500.0)), seed)
-            capture.write_bytes(capture_file(packets(made), PcapngFile()))
-            table = Calls()
-            found = [call for seen in read([str(capture)], Reading()) for call in table.feed(seen)]
+            made = generate_traffic(Traffic(calls, per_s, hold_ms=(300.0, 1500.0)), seed)
+            capture.write_bytes(encode_capture(to_packets(made), PcapngEncoder()))
+            table = CallTracker()
+            found = [
+                call for seen in read_messages([str(capture)], ReadReport()) for call in table.feed(seen)
+            ]
             planned = plan([*found, *table.end()], Shape(linger_ms=0.0), Left({}))
             with front(folder, (hubs[0].port, hubs[1].port)) as port:
                 report = Replay(planned, ("127.0.0.1", port), Shape()).run()
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -7,7 +7,7 @@
 
 from badgerstile.interface import ExchangeList, Health, Listed, ListKind
 from landingdeal.capture.settings import CaptureSettings
-from landingdeal.capture.sink import Sink
+from landingdeal.capture.sink import CaptureWriter
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import Broker, Inbox
 from landingdeal.core.contracts import Contracts
@@ -43,7 +43,7 @@
     inbox, life = Inbox(), Lifecycle(times_before_kill(longest, RELEASES_MS))
     seed = int.from_bytes(os.urandom(8), "big")
     told, listen = operator.capture or CaptureSettings(), (operator.sip.host, operator.sip.port)
-    sink = Sink(told.write, told.bounds, told.compress) if told.write is not None else None
+    sink = CaptureWriter(told.write, told.bounds, told.compress) if told.write is not None else None
     front = SipFront(operator.sip, operator.settings, inbox, seed, life, sink)
     capture = Capture(told.read, sink, listen) if told.read else None
     contracts = Contracts(operator.contracts)
--- a/landingdeal/sip/capture.py
+++ b/landingdeal/sip/capture.py
@@ -8,8 +8,8 @@
 import time
 from collections.abc import Callable, Iterator, Sequence
 
-from landingdeal.capture.messages import Seen
-from landingdeal.capture.reader import Reading, read
+from landingdeal.capture.messages import CapturedMessage
+from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
 from landingdeal.log import say
@@ -38,8 +38,8 @@
     """Plays the arrivals of captures for our port. Raises ConfigError or OSError where there is none."""
 
     def __init__(self, paths: Sequence[str], tap: Tap | None, listen: tuple[str, int]) -> None:
-        self.reading, self.tap, self.port = Reading(), tap, listen[1]
-        self.messages = read(paths, self.reading)
+        self.reading, self.tap, self.port = ReadReport(), tap, listen[1]
+        self.messages = read_messages(paths, self.reading)
         self.first = next(self.messages, None)
         if self.first is None:
             kept = self.reading.problems.kept
@@ -71,7 +71,7 @@
         rest = ", ".join(f"{count} {what}" for what, count in sorted(told.items())) or "nothing"
         say(f"capture: {taken} messages taken up; passed over: {rest}")
 
-    def _all(self) -> Iterator[Seen]:
+    def _all(self) -> Iterator[CapturedMessage]:
         if self.first is not None:
             yield self.first
         yield from self.messages
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -8,16 +8,16 @@
 
 import pytest
 
-from landingdeal.capture.calls import CallRecord, Calls
+from landingdeal.capture.calls import CallRecord, CallTracker
 from landingdeal.capture.compare import compare, shifts
-from landingdeal.capture.encode import PcapFile, PcapngFile
+from landingdeal.capture.encode import PcapEncoder, PcapngEncoder
 from landingdeal.capture.plan import Left, Shape, plan
-from landingdeal.capture.reader import Reading, read
+from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.capture.replay import Replay
 from landingdeal.capture.results import last_tries
 from landingdeal.capture.rewrite import Scrubber, written
-from landingdeal.capture.sample import SDP, capture_file, packets, traffic
-from landingdeal.capture.sample import Shape as Traffic
+from landingdeal.capture.sample import SDP, encode_capture, generate_traffic, to_packets
+from landingdeal.capture.sample import TrafficProfile as Traffic
 from landingdeal.lab.answerer import Answerer, Behaviour
 from landingdeal.lab.demo import front
 from landingdeal.sip.message import Message, request
@@ -27,20 +27,26 @@
 @pytest.fixture
 def sample(tmp_path: Path) -> Path:
     path = tmp_path / "sample.pcapng"
-    path.write_bytes(capture_file(packets(traffic(Traffic(calls=20, transport="TCP"))), PcapngFile()))
+    path.write_bytes(
+        encode_capture(to_packets(generate_traffic(Traffic(calls=20, transport="TCP"))), PcapngEncoder())
+    )
     return path
 
 
 def calls_in(*paths: Path) -> list[CallRecord]:
-    calls = Calls()
-    found = [call for seen in read([str(path) for path in paths], Reading()) for call in calls.feed(seen)]
+    calls = CallTracker()
+    found = [
+        call
+        for seen in read_messages([str(path) for path in paths], ReadReport())
+        for call in calls.feed(seen)
+    ]
     return [*found, *calls.end()]
 
 
-@pytest.mark.parametrize("form", [PcapFile(), PcapngFile()], ids=["pcap", "pcapng"])
-def test_what_is_rewritten_holds_the_same_calls(form: PcapFile, sample: Path, tmp_path: Path) -> None:
+@pytest.mark.parametrize("form", [PcapEncoder(), PcapngEncoder()], ids=["pcap", "pcapng"])
+def test_what_is_rewritten_holds_the_same_calls(form: PcapEncoder, sample: Path, tmp_path: Path) -> None:
     out = tmp_path / "out"
-    out.write_bytes(b"".join(written(read([str(sample)], Reading()), form)))
+    out.write_bytes(b"".join(written(read_messages([str(sample)], ReadReport()), form)))
     made = compare(calls_in(sample), calls_in(out))
     assert made.equal and len(made.pairs) == 20
     assert max(map(abs, shifts(made)["start_ms"])) < 0.1
@@ -72,8 +78,8 @@
     for call in before:
         for secret in (call.call_id, call.caller, f"sip:{call.called}@", call.source[0]):
             assert secret.encode() not in raw
-    reading = Reading()
-    assert list(read([str(one)], reading)) and reading.complete
+    reading = ReadReport()
+    assert list(read_messages([str(one)], reading)) and reading.complete
 
 
 def test_every_header_with_a_name_or_an_address_is_scrubbed() -> None:
@@ -101,7 +107,7 @@
     """Offered, written by the front, read back: the same calls with the same final answers."""
     source, ours = tmp_path / "in.pcap", tmp_path / "ours.pcapng"
     shape = Traffic(30, 40.0, transport=transport, refused=0.0, withdrawn=0.0, hold_ms=(50.0, 200.0))
-    source.write_bytes(capture_file(packets(traffic(shape)), PcapFile()))
+    source.write_bytes(encode_capture(to_packets(generate_traffic(shape)), PcapEncoder()))
     hubs = [Answerer(Behaviour(ring_ms=2.0, answer_ms=10.0)) for _ in range(2)]
     planned = plan(calls_in(source), Shape(linger_ms=0.0), Left({}))
     extra = f'[sip.capture]\nwrite = "{ours}"\n'
@@ -111,8 +117,10 @@
         hub.end()
     results = last_tries(report)
     assert [r.finals for r in results] == [1] * 30 and {r.status for r in results} == {200}
-    reading, calls = Reading(), Calls()
-    found = [call for seen in read([str(ours)], reading) for call in calls.feed(seen)] + list(calls.end())
+    reading, calls = ReadReport(), CallTracker()
+    found = [call for seen in read_messages([str(ours)], reading) for call in calls.feed(seen)] + list(
+        calls.end()
+    )
     callers = [call for call in found if call.target[1] == port]
     assert reading.complete and len(callers) == 30 and len(found) == 60  # each call has a leg towards a hub
     by_called = sorted((call.called, call.status, call.class_name) for call in callers)
--- a/tests/test_capture_reading.py
+++ b/tests/test_capture_reading.py
@@ -16,22 +16,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from landingdeal.capture.calls import CallRecord, Calls, Outcome, Side
+from landingdeal.capture.calls import CallRecord, CallTracker, Outcome, Party
 from landingdeal.capture.encode import (
     ACK,
     FIN,
     PSH,
     RST,
     SYN,
-    Conversations,
-    PcapFile,
-    PcapngFile,
+    PacketBuilder,
+    PcapEncoder,
+    PcapngEncoder,
     frames,
     ip_packet,
     segment,
 )
 from landingdeal.capture.encode import datagram as datagram_of
-from landingdeal.capture.formats import RECORD_MOST, NotCapture, records
+from landingdeal.capture.formats import RECORD_MOST, NotACapture, records
 from landingdeal.capture.fragments import Fragments
 from landingdeal.capture.layers import (
     COOKED,
@@ -51,11 +51,11 @@
     pseudo_header,
     transport_of,
 )
-from landingdeal.capture.messages import Messages, Seen
-from landingdeal.capture.problems import Kind, Problems
-from landingdeal.capture.reader import Reading, _ordered, read
-from landingdeal.capture.sample import START_NS, Shape, capture_file, packets, traffic
-from landingdeal.capture.sample import call as sample_call
+from landingdeal.capture.messages import CapturedMessage, MessageExtractor
+from landingdeal.capture.problems import ProblemKind, Problems
+from landingdeal.capture.reader import ReadReport, _ordered, read_messages
+from landingdeal.capture.sample import START_NS, TrafficProfile, encode_capture, generate_traffic, to_packets
+from landingdeal.capture.sample import call_messages as sample_call
 from landingdeal.capture.source import Source
 from landingdeal.capture.streams import GRACE_NS, Bytes, Conflict, Ended, Streams
 from landingdeal.sip.message import encode, request
@@ -63,7 +63,7 @@
 A, B = ("10.0.0.1", 5060), ("10.0.0.2", 5070)
 A6, B6 = ("2001:db8::1", 5060), ("2001:db8::2", 5070)
 LONG = bool(os.environ.get("LANDINGDEAL_LONG"))  # every byte, and 20,000 mangled files: some minutes
-FORMS = [PcapFile(), PcapFile(nano=False), PcapngFile()]
+FORMS = [PcapEncoder(), PcapEncoder(nano=False), PcapngEncoder()]
 MS = 10**6
 
 
@@ -79,14 +79,14 @@
     def __init__(self, data: bytes, strict: bool = False) -> None:
         self.problems = Problems()
         source = Source("file", io.BytesIO(data))
-        self.messages = Messages(self.problems, "file", strict)
-        self.seen: list[Seen] = []
+        self.messages = MessageExtractor(self.problems, "file", strict)
+        self.seen: list[CapturedMessage] = []
         try:
             self.seen += _ordered(self.messages.run(records(source, self.problems)))
-        except NotCapture:
+        except NotACapture:
             self.seen, self.not_a_capture = [], True
         self.kinds = set(self.problems.counts)
-        calls = Calls()
+        calls = CallTracker()
         self.calls: list[CallRecord] = [one for seen in self.seen for one in calls.feed(seen)]
         self.calls += calls.end()
 
@@ -159,14 +159,14 @@
 @pytest.mark.parametrize(
     ("bad", "kind"),
     [
-        (enhanced("<", 7, 0, b"x"), Kind.BAD_RECORD),
-        (block("<", 6, b"short"), Kind.BAD_RECORD),
-        (block("<", 1, struct.pack("<HHIHHB", 1, 0, 0, 9, 1, 0x7F)), Kind.BAD_RECORD),
+        (enhanced("<", 7, 0, b"x"), ProblemKind.BAD_RECORD),
+        (block("<", 6, b"short"), ProblemKind.BAD_RECORD),
+        (block("<", 1, struct.pack("<HHIHHB", 1, 0, 0, 9, 1, 0x7F)), ProblemKind.BAD_RECORD),
         (block("<", 9, b"")[:-4] + b"\0\0\0\1", None),  # of a block that is passed over nothing is looked at
-        (block("<", 6, struct.pack("<IIIII", 0, 0, 0, 900, 900)), Kind.BAD_RECORD),
+        (block("<", 6, struct.pack("<IIIII", 0, 0, 0, 900, 900)), ProblemKind.BAD_RECORD),
     ],
 )
-def test_a_bad_block_costs_itself_alone(bad: bytes, kind: Kind | None) -> None:
+def test_a_bad_block_costs_itself_alone(bad: bytes, kind: ProblemKind | None) -> None:
     good = enhanced("<", 0, 0, frames(datagram_of(A, B, message()), 1)[0])
     got = Read(section("<") + interface("<") + bad + good)
     assert got.ids() == ["1"] and got.kinds == ({kind} if kind else set())
@@ -175,15 +175,15 @@
 def test_two_lengths_that_differ_are_told_and_read_over() -> None:
     good = enhanced("<", 0, 0, frames(datagram_of(A, B, message()), 1)[0])
     got = Read(section("<") + interface("<") + good[:-4] + b"\0\0\0\0" + good)
-    assert got.ids() == ["1", "1"] and got.kinds == {Kind.BAD_RECORD}
+    assert got.ids() == ["1", "1"] and got.kinds == {ProblemKind.BAD_RECORD}
 
 
 def test_lengths_that_can_not_be() -> None:
     whole = pcap(frames(datagram_of(A, B, message()), 1))
     for kept, length, kinds, ids in (
-        (RECORD_MOST + 1, 100, {Kind.BAD_RECORD}, []),
-        (None, 5, {Kind.BAD_RECORD}, ["1"]),
-        (None, 9000, {Kind.TRUNCATED_PACKET}, ["1"]),
+        (RECORD_MOST + 1, 100, {ProblemKind.BAD_RECORD}, []),
+        (None, 5, {ProblemKind.BAD_RECORD}, ["1"]),
+        (None, 9000, {ProblemKind.TRUNCATED_PACKET}, ["1"]),
     ):
         _, _, real, _ = struct.unpack_from("<IIII", whole, 24)
         data = whole[:24] + struct.pack("<IIII", 7, 0, kept or real, length) + whole[40:]
@@ -198,24 +198,26 @@
 )
 def test_what_is_no_capture_is_told(data: bytes, tmp_path: Path) -> None:
     (tmp_path / "x").write_bytes(data)
-    reading = Reading()
-    assert not list(read([str(tmp_path / "x")], reading))
-    assert [problem.kind for problem in reading.problems.kept] == [Kind.NOT_A_CAPTURE]
+    reading = ReadReport()
+    assert not list(read_messages([str(tmp_path / "x")], reading))
+    assert [problem.kind for problem in reading.problems.kept] == [ProblemKind.NOT_A_CAPTURE]
     assert not reading.complete
 
 
 @pytest.mark.parametrize("form", FORMS, ids=lambda form: form.suffix)
 @pytest.mark.parametrize("squeeze", [bytes, gzip.compress, zstandard.compress])
-def test_compressed_files_and_several_of_them_merged(form: PcapFile, squeeze: object, tmp_path: Path) -> None:
+def test_compressed_files_and_several_of_them_merged(
+    form: PcapEncoder, squeeze: object, tmp_path: Path
+) -> None:
     assert callable(squeeze)
-    made = packets(traffic(Shape(calls=12)))
+    made = to_packets(generate_traffic(TrafficProfile(calls=12)))
     names = []
     for part in range(3):
         names.append(str(tmp_path / f"{part}"))
-        Path(names[-1]).write_bytes(squeeze(capture_file(made[part::3], form)))
-    reading = Reading()
-    seen = list(read(names, reading))
-    whole = Read(capture_file(made, form))
+        Path(names[-1]).write_bytes(squeeze(encode_capture(made[part::3], form)))
+    reading = ReadReport()
+    seen = list(read_messages(names, reading))
+    whole = Read(encode_capture(made, form))
     assert [s.message for s in seen] == [s.message for s in whole.seen] and reading.complete
     assert reading.counts["messages"] == len(seen)
 
@@ -223,7 +225,7 @@
 @pytest.mark.parametrize("squeeze", [gzip.compress, zstandard.compress])
 def test_damaged_compression_gives_what_came_before(squeeze: object) -> None:
     assert callable(squeeze)
-    raw = capture_file(packets(traffic(Shape(calls=300))), PcapFile())
+    raw = encode_capture(to_packets(generate_traffic(TrafficProfile(calls=300))), PcapEncoder())
     data = squeeze(raw)
     for cut in (data[: len(data) // 2], data[: len(data) // 2] + b"\xff" * 50):
         got = Read(cut)
@@ -284,7 +286,9 @@
     frame = bytearray(frames(datagram_of(A, B, message()), 1)[0])
     frame[14 + 20 + 6] ^= 0x55
     loose, strict = Read(pcap([bytes(frame)])), Read(pcap([bytes(frame)]), strict=True)
-    assert loose.ids() == ["1"] and loose.kinds == {Kind.BAD_CHECKSUM} == strict.kinds and not strict.seen
+    assert (
+        loose.ids() == ["1"] and loose.kinds == {ProblemKind.BAD_CHECKSUM} == strict.kinds and not strict.seen
+    )
 
 
 # --- fragments ---
@@ -318,7 +322,9 @@
 
 def test_a_fragmented_datagram_has_the_time_of_its_last_needed_fragment() -> None:
     made = frames(datagram_of(A, B, message(1, 4000)), 7)
-    got = Read(capture_file([(START_NS + n * MS, f) for n, f in enumerate([*made, made[0]])], PcapFile()))
+    got = Read(
+        encode_capture([(START_NS + n * MS, f) for n, f in enumerate([*made, made[0]])], PcapEncoder())
+    )
     assert [seen.time_ns - START_NS for seen in got.seen] == [2 * MS] and not got.kinds
 
 
@@ -451,30 +457,30 @@
     made = []
     for n, at in enumerate(range(0, len(text), 50)):
         made.append((START_NS + n * MS, frames(segment(A, B, 7000 + at, 0, PSH, text[at : at + 50]), 1)[0]))
-    got = Read(capture_file(made, PcapFile()))
+    got = Read(encode_capture(made, PcapEncoder()))
     assert got.ids() == ["2", "3"] and not got.kinds
 
 
 def test_a_message_that_leads_nowhere_costs_itself_alone() -> None:
     bad = b"INVITE sip:x SIP/2.0\r\nContent-Length: x\r\n\r\n"
-    made = Conversations().stream(A, B, message(1) + bad + message(2))
-    got = Read(capture_file([(START_NS + n, f) for n, f in enumerate(made)], PcapFile()))
-    assert got.ids() == ["1", "2"] and got.kinds == {Kind.MALFORMED_MESSAGE}
+    made = PacketBuilder().stream(A, B, message(1) + bad + message(2))
+    got = Read(encode_capture([(START_NS + n, f) for n, f in enumerate(made)], PcapEncoder()))
+    assert got.ids() == ["1", "2"] and got.kinds == {ProblemKind.MALFORMED_MESSAGE}
 
 
 # --- calls ---
 
 
 def test_calls_and_how_they_ended() -> None:
-    shape = Shape(calls=200, refused=0.2, withdrawn=0.2, transport="TCP")
-    got = Read(capture_file(packets(traffic(shape)), PcapngFile()))
+    shape = TrafficProfile(calls=200, refused=0.2, withdrawn=0.2, transport="TCP")
+    got = Read(encode_capture(to_packets(generate_traffic(shape)), PcapngEncoder()))
     assert len(got.calls) == 200 and not got.kinds
     ends = [call.outcome for call in got.calls]
     assert {Outcome.STOOD, Outcome.REFUSED, Outcome.WITHDRAWN} == set(ends)
     for call in got.calls:
         assert not call.begun_before and not call.cut_off and call.patience_ms == 9000.0
         assert call.class_name in shape.classes and call.called[0] in "12"
-        assert (call.bye_by in tuple(Side)) is (call.outcome is Outcome.STOOD)
+        assert (call.bye_by in tuple(Party)) is (call.outcome is Outcome.STOOD)
         if call.outcome is Outcome.STOOD:
             assert 5 <= call.answer_ms <= 61 and 199 <= call.hold_ms <= 801 and call.cause == 16
             assert call.provisional == 180 and call.ack_ns > call.answer_ns and call.over_ns > call.bye_ns
@@ -483,44 +489,44 @@
 
 
 def test_a_retry_is_linked_to_its_first_try() -> None:
-    shape, made = Shape(refused=1.0), []
+    shape, made = TrafficProfile(refused=1.0), []
     for n, at in enumerate((0, 3, 6, 500)):
         for sent in sample_call(5, START_NS + at * 10**9, shape, random.Random(9)):
             headers = tuple((k, f"{v}-{n}" if k == "call-id" else v) for k, v in sent.message.headers)
             made.append(replace(sent, message=replace(sent.message, headers=headers)))
-    got = Read(capture_file(packets(made), PcapFile()))
+    got = Read(encode_capture(to_packets(made), PcapEncoder()))
     assert [call.first_try for call in got.calls] == [0, 1, 1, 0]
 
 
 def test_calls_cut_by_the_edges_of_the_capture_are_marked() -> None:
-    made = traffic(Shape(calls=1, refused=0, withdrawn=0, called_ends=0))
-    got = Read(capture_file(packets(made[4:]), PcapFile()))
+    made = generate_traffic(TrafficProfile(calls=1, refused=0, withdrawn=0, called_ends=0))
+    got = Read(encode_capture(to_packets(made[4:]), PcapEncoder()))
     assert len(got.calls) == 1 and got.calls[0].begun_before and got.calls[0].outcome is Outcome.UNANSWERED
-    got = Read(capture_file(packets(made[:4]), PcapFile()))
+    got = Read(encode_capture(to_packets(made[:4]), PcapEncoder()))
     assert got.calls[0].cut_off and not got.calls[0].begun_before and got.calls[0].status == 200
 
 
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_shuffled_doubled_and_thinned_captures_invent_no_call(transport: str, seed: int) -> None:
-    shape = Shape(calls=60, transport=transport, padding=2000)
-    made = packets(traffic(shape, seed))
-    whole = Read(capture_file(made, PcapFile()))
+    shape = TrafficProfile(calls=60, transport=transport, padding=2000)
+    made = to_packets(generate_traffic(shape, seed))
+    whole = Read(encode_capture(made, PcapEncoder()))
     random_ = random.Random(seed)
     shuffled = sorted(made, key=lambda one: one[0] + random_.uniform(0, 50 * MS))
-    got = Read(capture_file(shuffled, PcapFile()))
+    got = Read(encode_capture(shuffled, PcapEncoder()))
     known = {call.call_id: (call.outcome, call.status, call.bye_by) for call in whole.calls}
     assert {call.call_id: (call.outcome, call.status, call.bye_by) for call in got.calls} == known
     assert not got.kinds
     doubled = [one for one in shuffled for _ in range(2)]
-    got = Read(capture_file(doubled, PcapFile()))
+    got = Read(encode_capture(doubled, PcapEncoder()))
     assert {call.call_id: (call.outcome, call.status, call.bye_by) for call in got.calls} == known
     assert not got.kinds
     thinned = [one for one in doubled if random_.random() >= 0.01][::2]
-    got = Read(capture_file(thinned, PcapFile()))
+    got = Read(encode_capture(thinned, PcapEncoder()))
     assert len(got.calls) <= len(known) and {call.call_id for call in got.calls} <= set(known)
     if len(got.messages.counts) and got.messages.counts["messages"] < whole.messages.counts["messages"]:
-        lost = {Kind.TCP_GAP, Kind.FRAGMENT_MISSING, Kind.MALFORMED_MESSAGE}
+        lost = {ProblemKind.TCP_GAP, ProblemKind.FRAGMENT_MISSING, ProblemKind.MALFORMED_MESSAGE}
         assert got.kinds <= lost
 
 
@@ -529,9 +535,9 @@
 
 @pytest.mark.parametrize("form", FORMS, ids=["ns", "us", "ng"])
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
-def test_a_file_cut_at_every_byte(form: PcapFile, transport: str) -> None:
-    made = packets(traffic(Shape(calls=4, transport=transport)))[:40]
-    whole = capture_file(made, form)
+def test_a_file_cut_at_every_byte(form: PcapEncoder, transport: str) -> None:
+    made = to_packets(generate_traffic(TrafficProfile(calls=4, transport=transport)))[:40]
+    whole = encode_capture(made, form)
     most = len(Read(whole).calls)
     sizes = [len(form.head())]
     for at, frame in made:
@@ -541,7 +547,7 @@
         got = Read(whole[:cut])
         assert len(got.calls) <= most
         if cut >= sizes[0]:
-            assert (Kind.TRUNCATED_FILE in got.kinds) is (cut not in ends), cut
+            assert (ProblemKind.TRUNCATED_FILE in got.kinds) is (cut not in ends), cut
 
 
 def mangle(data: bytes, random_: random.Random) -> bytes:
@@ -570,9 +576,9 @@
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
 @settings(max_examples=3400 if LONG else 40, deadline=None)
 @given(seed=st.integers(0, 2**32))
-def test_no_damage_raises_or_hangs(form: PcapFile, transport: str, seed: int) -> None:
-    shape = Shape(calls=5, transport=transport, padding=1600 if seed % 2 else 0)
-    whole = capture_file(packets(traffic(shape, 1)), form)
+def test_no_damage_raises_or_hangs(form: PcapEncoder, transport: str, seed: int) -> None:
+    shape = TrafficProfile(calls=5, transport=transport, padding=1600 if seed % 2 else 0)
+    whole = encode_capture(to_packets(generate_traffic(shape, 1)), form)
     got = Read(mangle(whole, random.Random(seed)))
     # a mangled Call-ID is another call's name for whoever looks on; what is whole is not made more
     known = {call.call_id for call in Read(whole).calls}
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -20,17 +20,17 @@
 from hypothesis import strategies as st
 
 from landingdeal.capture import progress
-from landingdeal.capture.calls import CallRecord, Calls, Outcome
-from landingdeal.capture.encode import PcapFile
+from landingdeal.capture.calls import CallRecord, CallTracker, Outcome
+from landingdeal.capture.encode import PcapEncoder
 from landingdeal.capture.language import BadFilter, parse
 from landingdeal.capture.limits import Admission, Backoff, Limits
 from landingdeal.capture.plan import Left, Offered, Shape, fingerprint, identity, plan
-from landingdeal.capture.reader import Reading, read
+from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.capture.replay import Replay
 from landingdeal.capture.results import last_tries, summary
 from landingdeal.capture.retries import Model, Policy, Retries
-from landingdeal.capture.sample import Shape as Traffic
-from landingdeal.capture.sample import capture_file, packets, traffic
+from landingdeal.capture.sample import TrafficProfile as Traffic
+from landingdeal.capture.sample import encode_capture, generate_traffic, to_packets
 from landingdeal.errors import ConfigError
 from landingdeal.lab.answerer import Answerer, Behaviour
 from landingdeal.lab.ports import free_port
@@ -40,9 +40,9 @@
 
 
 def calls_of(path: Path, shape: Traffic = QUICK, seed: int = 1) -> list[CallRecord]:
-    path.write_bytes(capture_file(packets(traffic(shape, seed)), PcapFile()))
-    calls = Calls()
-    found = [call for seen in read([str(path)], Reading()) for call in calls.feed(seen)]
+    path.write_bytes(encode_capture(to_packets(generate_traffic(shape, seed)), PcapEncoder()))
+    calls = CallTracker()
+    found = [call for seen in read_messages([str(path)], ReadReport()) for call in calls.feed(seen)]
     return [*found, *calls.end()]
 
 
--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -13,14 +13,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from landingdeal.capture.calls import CallRecord, Calls, Outcome
-from landingdeal.capture.encode import Conversations, PcapFile, PcapngFile
-from landingdeal.capture.reader import Reading, read
+from landingdeal.capture.calls import CallRecord, CallTracker, Outcome
+from landingdeal.capture.encode import PacketBuilder, PcapEncoder, PcapngEncoder
+from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.capture.repair import repair
-from landingdeal.capture.rotation import Bounds, Closed, full, to_remove
-from landingdeal.capture.sample import START_NS, Sent, Shape, capture_file, packets, traffic
+from landingdeal.capture.rotation import ClosedFile, RotationLimits, full, to_remove
+from landingdeal.capture.sample import (
+    START_NS,
+    SampleMessage,
+    TrafficProfile,
+    encode_capture,
+    generate_traffic,
+    to_packets,
+)
 from landingdeal.capture.settings import read_capture
-from landingdeal.capture.sink import WAITING_MOST, Sink, wait_written
+from landingdeal.capture.sink import WAITING_MOST, CaptureWriter, wait_written
 from landingdeal.clock import now_ms
 from landingdeal.errors import ConfigError
 from landingdeal.lab.ports import free_port
@@ -36,9 +43,11 @@
     return now_ms() + PATIENCE_S * 1000
 
 
-def calls_in(*paths: Path) -> tuple[list[CallRecord], Reading]:
-    reading, calls = Reading(), Calls()
-    found = [call for seen in read([str(path) for path in paths], reading) for call in calls.feed(seen)]
+def calls_in(*paths: Path) -> tuple[list[CallRecord], ReadReport]:
+    reading, calls = ReadReport(), CallTracker()
+    found = [
+        call for seen in read_messages([str(path) for path in paths], reading) for call in calls.feed(seen)
+    ]
     return [*found, *calls.end()], reading
 
 
@@ -54,8 +63,8 @@
 def test_files_stay_within_their_budget_and_the_oldest_go(
     sizes: list[int], total: int, open_size: int
 ) -> None:
-    closed = [Closed(n, size) for n, size in enumerate(sizes)]
-    bounds = Bounds(total_bytes=total)
+    closed = [ClosedFile(n, size) for n, size in enumerate(sizes)]
+    bounds = RotationLimits(total_bytes=total)
     gone = to_remove(bounds, closed, open_size)
     assert gone == list(range(len(gone)))
     left = open_size + sum(file.size for file in closed[len(gone) :])
@@ -65,16 +74,16 @@
 
 
 def test_a_file_is_full_by_size_or_by_time_and_never_before_its_first_record() -> None:
-    bounds = Bounds(file_bytes=100, file_ms=1000.0)
+    bounds = RotationLimits(file_bytes=100, file_ms=1000.0)
     assert full(bounds, 90, 0.0, 0.0, 11) and not full(bounds, 90, 0.0, 0.0, 10)
     assert full(bounds, 1, 0.0, 1000.0, 1) and not full(bounds, 0, 0.0, 9999.0, 999)
-    assert not full(Bounds(0, 0.0), 10**12, 0.0, 10**12, 1)
+    assert not full(RotationLimits(0, 0.0), 10**12, 0.0, 10**12, 1)
 
 
 @pytest.mark.parametrize("compress", ["", "gzip", "zstd"])
 def test_a_sink_rotates_compresses_and_keeps_its_budget(compress: str, tmp_path: Path) -> None:
     path = tmp_path / "ours.pcapng"
-    sink = Sink(path, Bounds(file_bytes=40_000, file_ms=0.0, total_bytes=120_000), compress)
+    sink = CaptureWriter(path, RotationLimits(file_bytes=40_000, file_ms=0.0, total_bytes=120_000), compress)
     for number in range(400):
         sink.passed("UDP", A, B, options(number, 1000))
         if number % 20 == 0:
@@ -88,8 +97,8 @@
     files = sorted(one for one in tmp_path.iterdir() if one != path)
     assert files and all(one.name.endswith(suffix) for one in files)
     assert sum(one.stat().st_size for one in tmp_path.iterdir()) <= 120_000
-    reading = Reading()
-    ids = [int(seen.message.call_id) for seen in read([*map(str, files), str(path)], reading)]
+    reading = ReadReport()
+    ids = [int(seen.message.call_id) for seen in read_messages([*map(str, files), str(path)], reading)]
     assert ids == list(range(min(ids), 400)) and reading.complete and 50 < len(ids) < 120
 
 
@@ -99,8 +108,8 @@
 @pytest.mark.parametrize("name", ["ours.pcap", "ours.pcapng"])
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
 def test_what_is_written_reads_as_the_same_calls(name: str, transport: str, tmp_path: Path) -> None:
-    sink = Sink(tmp_path / name)
-    made = traffic(Shape(calls=20, transport=transport, padding=3000))
+    sink = CaptureWriter(tmp_path / name)
+    made = generate_traffic(TrafficProfile(calls=20, transport=transport, padding=3000))
     for sent in made:
         sink.passed(transport, sent.source, sent.target, sent.message)
     sink.closed(made[0].source, made[0].target, reset=True)
@@ -111,7 +120,7 @@
 
 
 def test_comments_name_call_class_and_attempt(tmp_path: Path) -> None:
-    sink = Sink(tmp_path / "x.pcapng")
+    sink = CaptureWriter(tmp_path / "x.pcapng")
     invite = request("INVITE", "sip:1@net", ("via", "SIP/2.0/UDP a;branch=z9hG4bK1"), ("call-id", "ab-2"),
                      ("cseq", "1 INVITE"), ("subject", "test-report"))  # fmt: skip
     sink.passed("UDP", A, B, invite)
@@ -131,7 +140,7 @@
 
 
 def test_a_slow_disk_costs_messages_and_never_whoever_tells_of_them(tmp_path: Path) -> None:
-    sink = Sink(tmp_path / "x.pcap")
+    sink = CaptureWriter(tmp_path / "x.pcap")
     go = threading.Event()
 
     def slow(data: bytes) -> int:
@@ -149,7 +158,7 @@
 
 
 def test_a_full_disk_leaves_out_what_it_refuses_and_goes_on_when_there_is_room(tmp_path: Path) -> None:
-    sink = Sink(tmp_path / "x.pcap")
+    sink = CaptureWriter(tmp_path / "x.pcap")
 
     def full_disk(data: bytes) -> int:
         raise OSError(28, "No space left on device")
@@ -163,28 +172,28 @@
     sink.shut_until_ms = float("-inf")  # a while later
     sink.passed("UDP", A, B, options(2))
     sink.end(soon())
-    assert [seen.message.call_id for seen in read([str(tmp_path / "x.pcap")], Reading())] == ["2"]
+    assert [seen.message.call_id for seen in read_messages([str(tmp_path / "x.pcap")], ReadReport())] == ["2"]
 
 
 def test_a_file_that_was_not_closed_reads_to_its_last_record(tmp_path: Path) -> None:
-    sink = Sink(tmp_path / "x.pcap")
+    sink = CaptureWriter(tmp_path / "x.pcap")
     for number in range(50):
         sink.passed("TCP", A, B, options(number))
     assert wait_written(sink, soon())
     until = soon()
     while sink.written < 50 and now_ms() < until:
         time.sleep(0.01)
-    reading = Reading()
-    assert len(list(read([str(tmp_path / "x.pcap")], reading))) == 50 and reading.complete
+    reading = ReadReport()
+    assert len(list(read_messages([str(tmp_path / "x.pcap")], reading))) == 50 and reading.complete
 
 
 # --- repair ---
 
 
-@pytest.mark.parametrize("form", [PcapFile(), PcapngFile()], ids=["pcap", "pcapng"])
-def test_a_damaged_tail_is_cut_off(form: PcapFile, tmp_path: Path) -> None:
-    made = packets(traffic(Shape(calls=5)))
-    whole = capture_file(made, form)
+@pytest.mark.parametrize("form", [PcapEncoder(), PcapngEncoder()], ids=["pcap", "pcapng"])
+def test_a_damaged_tail_is_cut_off(form: PcapEncoder, tmp_path: Path) -> None:
+    made = to_packets(generate_traffic(TrafficProfile(calls=5)))
+    whole = encode_capture(made, form)
     path, out = tmp_path / "in", tmp_path / "out"
     impossible = struct.pack("<IIII", 6, 2**31, 2**31, 2**31)
     for damaged in (whole[:-7], whole + b"\x01\x02\x03", whole + impossible):
@@ -231,12 +240,12 @@
         )  # fmt: skip
 
     made = [
-        Sent(START_NS, kind, caller, listen, make("INVITE", "", body=BODY)),
-        Sent(START_NS + 20_000_000, "UDP", caller, ("10.1.1.1", 9), options(1)),
-        Sent(START_NS + 1_000_000_000, kind, caller, listen, make("ACK", ";tag=recorded")),
-        Sent(START_NS + 1_100_000_000, kind, caller, listen, make("BYE", ";tag=recorded", 2)),
+        SampleMessage(START_NS, kind, caller, listen, make("INVITE", "", body=BODY)),
+        SampleMessage(START_NS + 20_000_000, "UDP", caller, ("10.1.1.1", 9), options(1)),
+        SampleMessage(START_NS + 1_000_000_000, kind, caller, listen, make("ACK", ";tag=recorded")),
+        SampleMessage(START_NS + 1_100_000_000, kind, caller, listen, make("BYE", ";tag=recorded", 2)),
     ]
-    (tmp_path / "in.pcap").write_bytes(capture_file(packets(made), PcapFile()))
+    (tmp_path / "in.pcap").write_bytes(encode_capture(to_packets(made), PcapEncoder()))
     extra = f'[sip.capture]\nread = "{tmp_path}/in.pcap"\nwrite = "{tmp_path}/out.pcapng"\n'
     stage = SipStage(tmp_path, "udp", extra, port=port)
     try:
@@ -262,7 +271,7 @@
 
 
 def test_nothing_to_play_ends_the_start_with_one_line(tmp_path: Path) -> None:
-    empty = capture_file([], PcapFile())
+    empty = encode_capture([], PcapEncoder())
     for data, why in ((b"GIF89a" * 9, "neither pcap nor pcapng"), (empty, "no message")):
         (tmp_path / "x").write_bytes(data)
         with pytest.raises(ConfigError, match=why):
@@ -272,8 +281,8 @@
 
 
 def test_conversations_are_bounded_and_each_is_whole() -> None:
-    conversations = Conversations()
+    conversations = PacketBuilder()
     frames = []
-    for n in range(Conversations.CONNECTIONS_MOST + 50):
+    for n in range(PacketBuilder.CONNECTIONS_MOST + 50):
         frames += conversations.stream((f"10.{n >> 8}.0.{n & 255}", 5060), B, encode(options(n)))
-    assert len(conversations.connections) == Conversations.CONNECTIONS_MOST
+    assert len(conversations.connections) == PacketBuilder.CONNECTIONS_MOST
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from landingdeal.capture.encode import PcapFile, PcapngFile
-from landingdeal.capture.sample import Shape, capture_file, packets, traffic
+from landingdeal.capture.encode import PcapEncoder, PcapngEncoder
+from landingdeal.capture.sample import TrafficProfile, encode_capture, generate_traffic, to_packets
 from tests.scenario import ROOT
 
 
@@ -32,7 +32,11 @@
 @pytest.fixture(scope="module")
 def sample(tmp_path_factory: pytest.TempPathFactory) -> Path:
     path = tmp_path_factory.mktemp("capture") / "sample.pcapng"
-    path.write_bytes(capture_file(packets(traffic(Shape(calls=12, transport="TCP"))), PcapngFile()))
+    path.write_bytes(
+        encode_capture(
+            to_packets(generate_traffic(TrafficProfile(calls=12, transport="TCP"))), PcapngEncoder()
+        )
+    )
     return path
 
 
@@ -100,10 +104,10 @@
 
 
 def test_several_files_are_one_capture(sample: Path) -> None:
-    made = packets(traffic(Shape(calls=10)))
+    made = to_packets(generate_traffic(TrafficProfile(calls=10)))
     names = [sample.with_name(f"part{n}") for n in range(2)]
     for n, name in enumerate(names):
-        name.write_bytes(capture_file(made[n::2], PcapFile()))
+        name.write_bytes(encode_capture(made[n::2], PcapEncoder()))
     code, out, _ = landingdeal("capture", "check", "--json", *map(str, names))
     assert code == 0 and json.loads(out)["calls"] == 10
 
