--- a/benchmarks/captures.py
+++ b/benchmarks/captures.py
@@ -20,9 +20,9 @@
 from landingdeal.capture.sample import START_NS, TrafficProfile, generate_traffic, to_packets
 
 KINDS = {
-    "plain": TrafficProfile(calls=2000, per_s=100.0),
-    "fragmented": TrafficProfile(calls=2000, per_s=100.0, padding=3000),
-    "tcp": TrafficProfile(calls=2000, per_s=100.0, transport="TCP"),
+    "plain": TrafficProfile(call_count=2000, calls_per_s=100.0),
+    "fragmented": TrafficProfile(call_count=2000, calls_per_s=100.0, padding_bytes=3000),
+    "tcp": TrafficProfile(call_count=2000, calls_per_s=100.0, transport="TCP"),
 }
 
 
@@ -30,10 +30,10 @@
     """Blocks of calls, one after another in time, until the file is large enough."""
     form, at, written, seed = PcapEncoder(), START_NS, 0, 1
     with path.open("wb") as file:
-        file.write(form.head())
+        file.write(form.file_header())
         while written < size:
             frames = to_packets(generate_traffic(KINDS[kind], seed, at))
-            data = b"".join(form.record(time_ns, frame) for time_ns, frame in frames)
+            data = b"".join(form.packet_record(time_ns, frame) for time_ns, frame in frames)
             file.write(data)
             written, at, seed = written + len(data), frames[-1][0] + 10**9, seed + 1
 
--- a/landingdeal/capture/calls.py
+++ b/landingdeal/capture/calls.py
@@ -17,11 +17,13 @@
 from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
 from landingdeal.sip.message import Message
 
-LINGER_NS = 32 * 10**9  # after its end a call's retransmissions may still pass (64 times T1)
-IDLE_NS = 3600 * 10**9  # a call of which nothing passes any more is given out as it is
-CALLS_MOST = 200_000  # followed at once; the one idle longest is given out first
-AGAIN_NS = 60 * 10**9  # so soon after a refusal a set-up by the same caller for the same number tries again
-REFUSED_MOST = 50_000
+RETRANSMISSION_WINDOW_NS = 32 * 10**9  # after its end a call's retransmissions may still pass (64 times T1)
+IDLE_CALL_TIMEOUT_NS = 3600 * 10**9  # a call of which nothing passes any more is given out as it is
+MAX_TRACKED_CALLS = 200_000  # followed at once; the one idle longest is given out first
+RETRY_WINDOW_NS = (
+    60 * 10**9
+)  # so soon after a refusal a set-up by the same caller for the same number tries again
+MAX_REFUSED_CALLS = 50_000
 
 
 class Party(StrEnum):
@@ -30,9 +32,9 @@
 
 
 class Outcome(StrEnum):
-    STOOD = "stood"
+    ESTABLISHED = "stood"
     REFUSED = "refused"
-    WITHDRAWN = "withdrawn"  # CANCEL, then 487
+    CANCELLED = "withdrawn"  # CANCEL, then 487
     UNANSWERED = "unanswered"  # no final answer passed
 
 
@@ -43,9 +45,9 @@
     time_ns: int
     source: Address
     target: Address
-    what: str
+    label: str
     cseq: int
-    place: tuple[int, int]
+    position: tuple[int, int]
 
 
 @dataclass(slots=True)
@@ -64,35 +66,35 @@
     organization: str = ""
     invite_ns: int = -1
     provisional_ns: int = -1
-    provisional: int = 0  # the first one over 100
+    provisional_status: int = 0  # the first one over 100
     answer_ns: int = -1
     status: int = 0  # the final answer to the first INVITE
     ack_ns: int = -1
     cancel_ns: int = -1
     bye_ns: int = -1
-    bye_by: Party | None = None
-    over_ns: int = -1  # the answer to BYE
+    released_by: Party | None = None
+    bye_response_ns: int = -1  # the answer to BYE
     cause: int = 0  # of the Reason of a release (RFC 3326), else 0
-    later_ms: float = 0.0  # time to stay away, where the refusal told one
+    retry_after_ms: float = 0.0  # time to stay away, where the refusal told one
     retransmissions: int = 0
     reinvites: list[int] = field(default_factory=list)  # when each passed
     first_try: int = 0  # the number of the call that this one tries again; 0 where it is a first try
-    begun_before: bool = False
+    started_before_capture: bool = False
     cut_off: bool = False  # the capture ended before the call did
     invite: Message | None = None
-    steps: list[LadderMessage] = field(default_factory=list)
+    ladder: list[LadderMessage] = field(default_factory=list)
 
     @property
     def outcome(self) -> Outcome:
         if 200 <= self.status < 300:
-            return Outcome.STOOD
+            return Outcome.ESTABLISHED
         if self.cancel_ns >= 0 and self.status in (0, 487):
-            return Outcome.WITHDRAWN
+            return Outcome.CANCELLED
         return Outcome.REFUSED if self.status else Outcome.UNANSWERED
 
     @property
     def start_ns(self) -> int:
-        return self.invite_ns if self.invite_ns >= 0 else self.steps[0].time_ns
+        return self.invite_ns if self.invite_ns >= 0 else self.ladder[0].time_ns
 
     @property
     def answer_ms(self) -> float:
@@ -105,177 +107,194 @@
         return (self.bye_ns - self.answer_ns) / 1e6 if min(self.bye_ns, self.answer_ns) >= 0 else -1.0
 
 
-STEPS_MOST = 200  # of one call
+MAX_LADDER_MESSAGES = 200  # of one call
 
 
-class _Open:
+class _TrackedCall:
     """A call while it is being followed."""
 
-    __slots__ = ("record", "keys", "invite_cseq", "invite_branch", "byes", "seen_ns", "over", "caller_tag")
+    __slots__ = (
+        "record", "message_keys", "invite_cseq", "invite_branch", "bye_cseqs", "last_seen_ns", "finished",
+        "caller_tag",
+    )  # fmt: skip
 
     def __init__(self, record: CallRecord) -> None:
         self.record = record
-        self.keys: OrderedDict[tuple[str, str, int], None] = OrderedDict()  # messages seen, to know repeats
+        self.message_keys: OrderedDict[tuple[str, str, int], None] = OrderedDict()
         self.invite_cseq = -1
         self.invite_branch = ""
         self.caller_tag = ""
-        self.byes: set[int] = set()
-        self.seen_ns = 0
-        self.over = False
+        self.bye_cseqs: set[int] = set()
+        self.last_seen_ns = 0
+        self.finished = False
 
 
-KEYS_MOST = 256
+MAX_MESSAGE_KEYS = 256
 
 
 class CallTracker:
     """`feed` takes messages in order of time and gives the calls that are complete; `end` gives the rest."""
 
     def __init__(self) -> None:
-        self.open: OrderedDict[str, _Open] = OrderedDict()  # by Call-ID, the one idle longest first
-        self.refused: OrderedDict[tuple[str, str], tuple[int, int, str]] = OrderedDict()
-        self.number = 0
-        self.strays = 0  # messages of no call
+        self.tracked: OrderedDict[str, _TrackedCall] = OrderedDict()  # by Call-ID, the one idle longest first
+        self.refused_calls: OrderedDict[tuple[str, str], tuple[int, int, str]] = OrderedDict()
+        self.last_number = 0
+        self.unmatched_responses = 0  # messages of no call
 
-    def feed(self, seen: CapturedMessage) -> Iterator[CallRecord]:
-        message = seen.message
+    def feed(self, captured: CapturedMessage) -> Iterator[CallRecord]:
+        message = captured.message
         method = message.cseq[1]
         if method in ("INVITE", "ACK", "BYE", "CANCEL", "UPDATE", "PRACK", "INFO"):
-            yield from self._follow(seen, method)
-        yield from self._settle(seen.time_ns)
+            yield from self._process(captured, method)
+        yield from self._expire(captured.time_ns)
 
     def end(self) -> Iterator[CallRecord]:
-        for call in self.open.values():
-            call.record.cut_off = not call.over
+        for call in self.tracked.values():
+            call.record.cut_off = not call.finished
             yield call.record
-        self.open.clear()
+        self.tracked.clear()
 
     # --- one message ---
 
-    def _follow(self, seen: CapturedMessage, method: str) -> Iterator[CallRecord]:
-        message = seen.message
-        call = self.open.get(message.call_id)
-        new = message.method == "INVITE" and not _tag(message, "to")
-        if call is not None and new and call.over and message.cseq[0] > call.invite_cseq:
+    def _process(self, captured: CapturedMessage, method: str) -> Iterator[CallRecord]:
+        message = captured.message
+        call = self.tracked.get(message.call_id)
+        is_new_call = message.method == "INVITE" and not _tag_of(message, "to")
+        if call is not None and is_new_call and call.finished and message.cseq[0] > call.invite_cseq:
             yield call.record  # the same Call-ID for another call: the caller tries again (8.1.3.5)
-            del self.open[message.call_id]
+            del self.tracked[message.call_id]
             call = None
         if call is None:
-            if message.status and method != "INVITE" and not _tag(message, "to"):
-                self.strays += 1
+            if message.status and method != "INVITE" and not _tag_of(message, "to"):
+                self.unmatched_responses += 1
                 return
-            call = self._begin(seen, new)
-        self.open.move_to_end(message.call_id)
-        call.seen_ns = seen.time_ns
-        if self._repeated(call, seen):
+            call = self._start_tracking(captured, is_new_call)
+        self.tracked.move_to_end(message.call_id)
+        call.last_seen_ns = captured.time_ns
+        if self._is_repeat(call, captured):
             call.record.retransmissions += 1
             return
-        self._step(call, seen)
+        self._add_to_ladder(call, captured)
         if message.status:
-            self._response(call, seen, method)
+            self._process_response(call, captured, method)
         else:
-            self._request(call, seen, method)
-        while len(self.open) > CALLS_MOST:
-            _, idle = self.open.popitem(last=False)
-            idle.record.cut_off = not idle.over
-            yield idle.record
-
-    def _begin(self, seen: CapturedMessage, new: bool) -> _Open:
-        message = seen.message
-        self.number += 1
-        source, target = (seen.target, seen.source) if message.status else (seen.source, seen.target)
+            self._process_request(call, captured, method)
+        while len(self.tracked) > MAX_TRACKED_CALLS:
+            _, idlest = self.tracked.popitem(last=False)
+            idlest.record.cut_off = not idlest.finished
+            yield idlest.record
+
+    def _start_tracking(self, captured: CapturedMessage, is_new_call: bool) -> _TrackedCall:
+        message = captured.message
+        self.last_number += 1
+        source, target = (
+            (captured.target, captured.source) if message.status else (captured.source, captured.target)
+        )
         record = CallRecord(
-            self.number, message.call_id, _caller(message), _called(message), seen.transport, source, target,
-            message.get("subject"), _number(message.get("x-patience")), message.get("organization"),
-            begun_before=not new,
+            self.last_number, message.call_id, _caller_of(message), _called_of(message), captured.transport,
+            source, target, message.get("subject"), _decimal(message.get("x-patience")),
+            message.get("organization"),
+            started_before_capture=not is_new_call,
         )  # fmt: skip
-        call = self.open[message.call_id] = _Open(record)
-        call.caller_tag = _tag(message, "from")
-        if new:
-            record.invite_ns, record.invite = seen.time_ns, message
-            call.invite_cseq, call.invite_branch = message.cseq[0], _branch(message)
-            again = self.refused.pop((record.caller, record.called), None)
-            if again is not None and seen.time_ns - again[0] <= AGAIN_NS:
-                record.first_try = again[1]
+        call = self.tracked[message.call_id] = _TrackedCall(record)
+        call.caller_tag = _tag_of(message, "from")
+        if is_new_call:
+            record.invite_ns, record.invite = captured.time_ns, message
+            call.invite_cseq, call.invite_branch = message.cseq[0], _branch_of(message)
+            refusal = self.refused_calls.pop((record.caller, record.called), None)
+            if refusal is not None and captured.time_ns - refusal[0] <= RETRY_WINDOW_NS:
+                record.first_try = refusal[1]
         return call
 
     @staticmethod
-    def _repeated(call: _Open, seen: CapturedMessage) -> bool:
+    def _is_repeat(call: _TrackedCall, captured: CapturedMessage) -> bool:
         """The same message again: a retransmission, or the same one seen on its next way."""
-        message = seen.message
-        what = f"{message.status}{_tag(message, 'to')}" if message.status else message.method
-        key = f"{what} {seen.source}>{seen.target} {message.cseq[1]}", _branch(message), message.cseq[0]
-        if message.method == "ACK" and key in call.keys:
+        message = captured.message
+        kind = f"{message.status}{_tag_of(message, 'to')}" if message.status else message.method
+        key = (
+            f"{kind} {captured.source}>{captured.target} {message.cseq[1]}",
+            _branch_of(message),
+            message.cseq[0],
+        )
+        if message.method == "ACK" and key in call.message_keys:
             return True
-        if key in call.keys:
-            call.keys.move_to_end(key)
+        if key in call.message_keys:
+            call.message_keys.move_to_end(key)
             return True
-        call.keys[key] = None
-        while len(call.keys) > KEYS_MOST:
-            call.keys.popitem(last=False)
+        call.message_keys[key] = None
+        while len(call.message_keys) > MAX_MESSAGE_KEYS:
+            call.message_keys.popitem(last=False)
         return False
 
     @staticmethod
-    def _step(call: _Open, seen: CapturedMessage) -> None:
-        message = seen.message
-        what = f"{message.status} {message.reason}".strip() if message.status else message.method
+    def _add_to_ladder(call: _TrackedCall, captured: CapturedMessage) -> None:
+        message = captured.message
+        label = f"{message.status} {message.reason}".strip() if message.status else message.method
         if message.status and message.cseq[1] != "INVITE":
-            what += f" ({message.cseq[1]})"
-        if len(call.record.steps) < STEPS_MOST:
-            call.record.steps.append(
-                LadderMessage(seen.time_ns, seen.source, seen.target, what, message.cseq[0], seen.place)
+            label += f" ({message.cseq[1]})"
+        if len(call.record.ladder) < MAX_LADDER_MESSAGES:
+            call.record.ladder.append(
+                LadderMessage(
+                    captured.time_ns,
+                    captured.source,
+                    captured.target,
+                    label,
+                    message.cseq[0],
+                    captured.position,
+                )
             )
 
-    def _request(self, call: _Open, seen: CapturedMessage, method: str) -> None:
-        record, message, now = call.record, seen.message, seen.time_ns
-        by = Party.CALLER if _tag(message, "from") == call.caller_tag else Party.CALLED
+    def _process_request(self, call: _TrackedCall, captured: CapturedMessage, method: str) -> None:
+        record, message, now = call.record, captured.message, captured.time_ns
+        sender = Party.CALLER if _tag_of(message, "from") == call.caller_tag else Party.CALLED
         match method:
-            case "INVITE" if message.cseq[0] != call.invite_cseq or by is Party.CALLED:
+            case "INVITE" if message.cseq[0] != call.invite_cseq or sender is Party.CALLED:
                 record.reinvites.append(now)
             case "ACK" if record.ack_ns < 0 and message.cseq[0] in (call.invite_cseq, -1):
                 record.ack_ns = now
                 if record.status >= 300:
-                    call.over = True
+                    call.finished = True
             case "CANCEL" if message.cseq[0] == call.invite_cseq and record.cancel_ns < 0:
                 record.cancel_ns = now
             case "BYE":
-                call.byes.add(message.cseq[0])
+                call.bye_cseqs.add(message.cseq[0])
                 if record.bye_ns < 0:
-                    record.bye_ns, record.bye_by, record.cause = now, by, _cause(message)
+                    record.bye_ns, record.released_by, record.cause = now, sender, _cause_of(message)
             case _:
                 pass
 
-    def _response(self, call: _Open, seen: CapturedMessage, method: str) -> None:
-        record, message, now = call.record, seen.message, seen.time_ns
-        number, status = message.cseq[0], message.status
-        if method == "INVITE" and number == call.invite_cseq:
+    def _process_response(self, call: _TrackedCall, captured: CapturedMessage, method: str) -> None:
+        record, message, now = call.record, captured.message, captured.time_ns
+        cseq_number, status = message.cseq[0], message.status
+        if method == "INVITE" and cseq_number == call.invite_cseq:
             if status < 200:
                 if record.provisional_ns < 0 and status > 100:
-                    record.provisional_ns, record.provisional = now, status
+                    record.provisional_ns, record.provisional_status = now, status
             elif record.answer_ns < 0:
                 record.answer_ns, record.status = now, status
-                record.later_ms = _later(message)
+                record.retry_after_ms = _retry_after_ms(message)
                 if status >= 300 and record.outcome is Outcome.REFUSED:
-                    self._refused(record, now)
-        elif method == "BYE" and status >= 200 and record.over_ns < 0:
-            record.over_ns = now
-            call.over = True
+                    self._remember_refusal(record, now)
+        elif method == "BYE" and status >= 200 and record.bye_response_ns < 0:
+            record.bye_response_ns = now
+            call.finished = True
 
-    def _refused(self, record: CallRecord, now: int) -> None:
+    def _remember_refusal(self, record: CallRecord, now: int) -> None:
         key = record.caller, record.called
-        self.refused[key] = now, record.first_try or record.number, record.call_id
-        self.refused.move_to_end(key)
-        while len(self.refused) > REFUSED_MOST:
-            self.refused.popitem(last=False)
+        self.refused_calls[key] = now, record.first_try or record.number, record.call_id
+        self.refused_calls.move_to_end(key)
+        while len(self.refused_calls) > MAX_REFUSED_CALLS:
+            self.refused_calls.popitem(last=False)
 
-    def _settle(self, now: int) -> Iterator[CallRecord]:
+    def _expire(self, now: int) -> Iterator[CallRecord]:
         """Gives out what is over and has been silent, or silent for very long; the table is in that order."""
-        while self.open:
-            key, call = next(iter(self.open.items()))
-            silent = now - call.seen_ns
-            if silent <= LINGER_NS or not call.over and silent <= IDLE_NS:
+        while self.tracked:
+            key, call = next(iter(self.tracked.items()))
+            idle_ns = now - call.last_seen_ns
+            if idle_ns <= RETRANSMISSION_WINDOW_NS or not call.finished and idle_ns <= IDLE_CALL_TIMEOUT_NS:
                 return
-            call.record.cut_off = not call.over
-            del self.open[key]
+            call.record.cut_off = not call.finished
+            del self.tracked[key]
             yield call.record
 
 
@@ -283,21 +302,21 @@
 
 
 # Tags and branches are looked at in every message: found without taking the whole header apart.
-TAG = re.compile(r";\s*tag\s*=\s*([^;\s>]+)", re.IGNORECASE)
-BRANCH = re.compile(r";\s*branch\s*=\s*([^;,\s]+)", re.IGNORECASE)
+TAG_PARAMETER = re.compile(r";\s*tag\s*=\s*([^;\s>]+)", re.IGNORECASE)
+BRANCH_PARAMETER = re.compile(r";\s*branch\s*=\s*([^;,\s]+)", re.IGNORECASE)
 
 
-def _tag(message: Message, header: str) -> str:
-    found = TAG.search(message.get(header).rpartition(">")[2])
-    return found[1] if found else ""
+def _tag_of(message: Message, header: str) -> str:
+    match = TAG_PARAMETER.search(message.get(header).rpartition(">")[2])
+    return match[1] if match else ""
 
 
-def _branch(message: Message) -> str:
-    found = BRANCH.search(message.get("via").partition(",")[0])
-    return found[1] if found else ""
+def _branch_of(message: Message) -> str:
+    match = BRANCH_PARAMETER.search(message.get("via").partition(",")[0])
+    return match[1] if match else ""
 
 
-def _caller(message: Message) -> str:
+def _caller_of(message: Message) -> str:
     try:
         uri = parse_uri(parse_name_addr(message.get("from")).uri)
         return f"{uri.user}@{uri.host}" if uri.user else uri.host
@@ -305,7 +324,7 @@
         return message.get("from")[:100]
 
 
-def _called(message: Message) -> str:
+def _called_of(message: Message) -> str:
     text = message.uri
     if not text:
         try:
@@ -318,21 +337,21 @@
         return text[:100]
 
 
-def _number(text: str) -> float:
+def _decimal(text: str) -> float:
     """A plain decimal number; 0 where it is none."""
-    main, _, part = text.strip().partition(".")
-    plain = main.isascii() and main.isdecimal() and len(main) <= 9
-    if not plain or part and not (part.isascii() and part.isdecimal()):
+    integer, _, fraction = text.strip().partition(".")
+    valid = integer.isascii() and integer.isdecimal() and len(integer) <= 9
+    if not valid or fraction and not (fraction.isascii() and fraction.isdecimal()):
         return 0.0
-    return float(f"{main}.{part or 0}")
+    return float(f"{integer}.{fraction or 0}")
 
 
-def _later(message: Message) -> float:
-    told = _number(message.get("x-later-ms"))
-    return told or 1000 * _number(message.get("retry-after").partition(";")[0].partition("(")[0])
+def _retry_after_ms(message: Message) -> float:
+    exact_ms = _decimal(message.get("x-later-ms"))
+    return exact_ms or 1000 * _decimal(message.get("retry-after").partition(";")[0].partition("(")[0])
 
 
-def _cause(message: Message) -> int:
+def _cause_of(message: Message) -> int:
     for part in message.get("reason").split(";"):
         name, _, value = part.partition("=")
         if name.strip().lower() == "cause" and value.strip().isdecimal():
--- a/landingdeal/capture/compare.py
+++ b/landingdeal/capture/compare.py
@@ -27,7 +27,7 @@
 
 
 def _end(call: CallRecord) -> tuple[Any, ...]:
-    return call.outcome, call.status, call.bye_by
+    return call.outcome, call.status, call.released_by
 
 
 def compare(a: Iterable[CallRecord], b: Iterable[CallRecord]) -> Comparison:
--- a/landingdeal/capture/encode.py
+++ b/landingdeal/capture/encode.py
@@ -7,30 +7,30 @@
 from dataclasses import dataclass
 
 from landingdeal.capture.formats import (
-    BYTE_ORDER,
-    ENHANCED,
-    INTERFACE,
-    MICRO,
-    NANO,
+    BYTE_ORDER_MAGIC,
+    ENHANCED_PACKET_BLOCK,
+    INTERFACE_DESCRIPTION_BLOCK,
+    MAGIC_MICROSECONDS,
+    MAGIC_NANOSECONDS,
     OPT_COMMENT,
     OPT_TSRESOL,
-    SECTION,
+    SECTION_HEADER_BLOCK,
 )
 from landingdeal.capture.layers import (
-    ETHER_4,
-    ETHER_6,
-    ETHERNET,
-    TCP,
-    UDP,
+    ETHERTYPE_IPV4,
+    ETHERTYPE_IPV6,
+    IPPROTO_TCP,
+    IPPROTO_UDP,
+    LINKTYPE_ETHERNET,
     Address,
-    Ip,
-    ones_sum,
+    IpPacket,
+    ones_complement_sum,
     pseudo_header,
 )
 
 MTU = 1500
 FIN, SYN, RST, PSH, ACK = 1, 2, 4, 8, 16
-SNAP = 262144
+SNAPLEN = 262144
 
 
 def _pad(data: bytes) -> bytes:
@@ -47,12 +47,12 @@
 
     def __init__(self, nano: bool = True) -> None:
         self.unit = 1 if nano else 1000
-        self.magic = NANO if nano else MICRO
+        self.magic = MAGIC_NANOSECONDS if nano else MAGIC_MICROSECONDS
 
-    def head(self) -> bytes:
-        return struct.pack("<IHHiIII", self.magic, 2, 4, 0, 0, SNAP, ETHERNET)
+    def file_header(self) -> bytes:
+        return struct.pack("<IHHiIII", self.magic, 2, 4, 0, 0, SNAPLEN, LINKTYPE_ETHERNET)
 
-    def record(self, time_ns: int, frame: bytes, comment: str = "") -> bytes:
+    def packet_record(self, time_ns: int, frame: bytes, comment: str = "") -> bytes:
         seconds, rest = divmod(time_ns, 10**9)
         return struct.pack("<IIII", seconds, rest // self.unit, len(frame), len(frame)) + frame
 
@@ -62,19 +62,21 @@
 
     suffix = ".pcapng"
 
-    def head(self) -> bytes:
-        section = struct.pack("<IHHq", BYTE_ORDER, 1, 0, -1)
+    def file_header(self) -> bytes:
+        section = struct.pack("<IHHq", BYTE_ORDER_MAGIC, 1, 0, -1)
         resolution = struct.pack("<HHB3xHH", OPT_TSRESOL, 1, 9, 0, 0)
-        interface = struct.pack("<HHI", ETHERNET, 0, SNAP) + resolution
-        return self._block(SECTION, section) + self._block(INTERFACE, interface)
+        interface = struct.pack("<HHI", LINKTYPE_ETHERNET, 0, SNAPLEN) + resolution
+        return self._block(SECTION_HEADER_BLOCK, section) + self._block(
+            INTERFACE_DESCRIPTION_BLOCK, interface
+        )
 
-    def record(self, time_ns: int, frame: bytes, comment: str = "") -> bytes:
+    def packet_record(self, time_ns: int, frame: bytes, comment: str = "") -> bytes:
         body = struct.pack("<IIIII", 0, time_ns >> 32, time_ns & 0xFFFFFFFF, len(frame), len(frame))
         body += _pad(frame)
         if comment:
             told = comment.encode()[:1024]
             body += struct.pack("<HH", OPT_COMMENT, len(told)) + _pad(told) + bytes(4)
-        return self._block(ENHANCED, body)
+        return self._block(ENHANCED_PACKET_BLOCK, body)
 
     @staticmethod
     def _block(kind: int, body: bytes) -> bytes:
@@ -92,7 +94,7 @@
     return socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
 
 
-def ip_packet(ip: Ip, last_ident: int = 0) -> bytes:
+def ip_packet(ip: IpPacket, last_ident: int = 0) -> bytes:
     """The IP packet of `ip`, whole or as the fragment that it says it is."""
     hosts = _packed(ip.source) + _packed(ip.target)
     if ip.version == 4:
@@ -100,7 +102,7 @@
         if not ip.fragment:
             flags = 0x4000  # not to be cut on the way
         head = struct.pack(">BBHHHBBH", 0x45, 0, 20 + len(ip.payload), ip.ident, flags, 64, ip.protocol, 0)
-        summed = ~ones_sum(head + hosts) & 0xFFFF
+        summed = ~ones_complement_sum(head + hosts) & 0xFFFF
         return head[:10] + struct.pack(">H", summed) + hosts + ip.payload
     payload, protocol = ip.payload, ip.protocol
     if ip.fragment:
@@ -109,10 +111,10 @@
     return struct.pack(">IHBB", 6 << 28, len(payload), protocol, 64) + hosts + payload
 
 
-def frames(ip: Ip, ident: int) -> list[bytes]:
+def ethernet_frames(ip: IpPacket, ident: int) -> list[bytes]:
     """Ethernet frames of one IP packet: several fragments where it does not fit the MTU."""
     room = (MTU - (20 if ip.version == 4 else 48)) // 8 * 8
-    kind = struct.pack(">H", ETHER_4 if ip.version == 4 else ETHER_6)
+    kind = struct.pack(">H", ETHERTYPE_IPV4 if ip.version == 4 else ETHERTYPE_IPV6)
     head = b"\x02\0\0\0\0\x02\x02\0\0\0\0\x01" + kind
     most = MTU - (20 if ip.version == 4 else 40)
     if len(ip.payload) <= most:
@@ -121,35 +123,37 @@
     for at in range(0, len(ip.payload), room):
         part = ip.payload[at : at + room]
         more = at + room < len(ip.payload)
-        piece = Ip(ip.version, ip.source, ip.target, ip.protocol, part, ident=ident, at=at, more=more)
+        piece = IpPacket(ip.version, ip.source, ip.target, ip.protocol, part, ident=ident, at=at, more=more)
         made.append(head + ip_packet(piece))
     return made
 
 
-def _ip(protocol: int, source: Address, target: Address, data: bytes, sum_at: int) -> Ip:
+def _ip(protocol: int, source: Address, target: Address, data: bytes, sum_at: int) -> IpPacket:
     """Fills in the checksum that stands at `sum_at`."""
     version = 6 if ":" in source[0] else 4
-    bare = Ip(version, source[0], target[0], protocol, data)
-    summed = ~ones_sum(pseudo_header(bare, len(data)) + data) & 0xFFFF
-    if protocol == UDP and summed == 0:
+    bare = IpPacket(version, source[0], target[0], protocol, data)
+    summed = ~ones_complement_sum(pseudo_header(bare, len(data)) + data) & 0xFFFF
+    if protocol == IPPROTO_UDP and summed == 0:
         summed = 0xFFFF
     whole = data[:sum_at] + struct.pack(">H", summed) + data[sum_at + 2 :]
-    return Ip(version, source[0], target[0], protocol, whole)
+    return IpPacket(version, source[0], target[0], protocol, whole)
 
 
-def datagram(source: Address, target: Address, payload: bytes) -> Ip:
+def udp_packet(source: Address, target: Address, payload: bytes) -> IpPacket:
     data = struct.pack(">HHHH", source[1], target[1], 8 + len(payload), 0) + payload
-    return _ip(UDP, source, target, data, 6)
+    return _ip(IPPROTO_UDP, source, target, data, 6)
 
 
-def segment(source: Address, target: Address, seq: int, ack: int, flags: int, payload: bytes = b"") -> Ip:
+def tcp_packet(
+    source: Address, target: Address, seq: int, ack: int, flags: int, payload: bytes = b""
+) -> IpPacket:
     data = struct.pack(">HHIIBBHHH", source[1], target[1], seq, ack, 5 << 4, flags, 65535, 0, 0) + payload
-    return _ip(TCP, source, target, data, 16)
+    return _ip(IPPROTO_TCP, source, target, data, 16)
 
 
 # --- conversations ---
 
-SEGMENT_MOST = MTU - 20 - 20
+MAX_SEGMENT_BYTES = MTU - 20 - 20
 
 
 @dataclass(slots=True)
@@ -168,37 +172,37 @@
     fragments.
     """
 
-    CONNECTIONS_MOST = 4096
+    MAX_CONNECTIONS = 4096
 
     def __init__(self) -> None:
         self.connections: dict[frozenset[Address], _Connection] = {}
         self.ident = 0
 
-    def datagram(self, source: Address, target: Address, payload: bytes) -> list[bytes]:
+    def datagram_frames(self, source: Address, target: Address, payload: bytes) -> list[bytes]:
         self.ident = (self.ident + 1) & 0xFFFF
-        return frames(datagram(source, target, payload), self.ident)
+        return ethernet_frames(udp_packet(source, target, payload), self.ident)
 
-    def stream(self, source: Address, target: Address, payload: bytes) -> list[bytes]:
+    def stream_frames(self, source: Address, target: Address, payload: bytes) -> list[bytes]:
         """Bytes on a connection, which is opened by `source` where it was not open."""
         key = frozenset((source, target))
         out = []
         connection = self.connections.pop(key, None)
         if connection is None:
-            while len(self.connections) >= self.CONNECTIONS_MOST:
+            while len(self.connections) >= self.MAX_CONNECTIONS:
                 idle = next(iter(self.connections))
                 out += self._fin(idle)
             connection = _Connection({source: 1000, target: 5000})
             out += self._handshake(connection, source, target)
         self.connections[key] = connection  # the last used is the last to go
         seqs = connection.seqs
-        for at in range(0, len(payload), SEGMENT_MOST):
-            part = payload[at : at + SEGMENT_MOST]
+        for at in range(0, len(payload), MAX_SEGMENT_BYTES):
+            part = payload[at : at + MAX_SEGMENT_BYTES]
             out += self._segment(source, target, seqs[source], seqs[target], PSH | ACK, part)
             seqs[source] = (seqs[source] + len(part)) & 0xFFFFFFFF
             out += self._segment(target, source, seqs[target], seqs[source], ACK)
         return out
 
-    def close(self, source: Address, target: Address, reset: bool = False) -> list[bytes]:
+    def close_connection(self, source: Address, target: Address, reset: bool = False) -> list[bytes]:
         """`source` ends the connection; nothing where there is none."""
         key = frozenset((source, target))
         if key not in self.connections:
@@ -208,7 +212,7 @@
         seqs = self.connections.pop(key).seqs
         return self._segment(source, target, seqs[source], seqs[target], RST | ACK)
 
-    def end(self) -> list[bytes]:
+    def close_all(self) -> list[bytes]:
         """Ends whatever is open."""
         return [frame for key in list(self.connections) for frame in self._fin(key)]
 
@@ -234,4 +238,4 @@
         self, source: Address, target: Address, seq: int, ack: int, flags: int, payload: bytes = b""
     ) -> list[bytes]:
         self.ident = (self.ident + 1) & 0xFFFF
-        return frames(segment(source, target, seq, ack, flags, payload), self.ident)
+        return ethernet_frames(tcp_packet(source, target, seq, ack, flags, payload), self.ident)
--- a/landingdeal/capture/formats.py
+++ b/landingdeal/capture/formats.py
@@ -8,15 +8,15 @@
 from typing import Protocol
 
 from landingdeal.capture.problems import Problem, ProblemKind, Problems
-from landingdeal.capture.source import Source
+from landingdeal.capture.source import ByteSource
 
-MICRO, NANO = 0xA1B2C3D4, 0xA1B23C4D
-SECTION, BYTE_ORDER = 0x0A0D0D0A, 0x1A2B3C4D
-INTERFACE, OLD_PACKET, SIMPLE, ENHANCED = 1, 2, 3, 6
+MAGIC_MICROSECONDS, MAGIC_NANOSECONDS = 0xA1B2C3D4, 0xA1B23C4D
+SECTION_HEADER_BLOCK, BYTE_ORDER_MAGIC = 0x0A0D0D0A, 0x1A2B3C4D
+INTERFACE_DESCRIPTION_BLOCK, OBSOLETE_PACKET_BLOCK, SIMPLE_PACKET_BLOCK, ENHANCED_PACKET_BLOCK = 1, 2, 3, 6
 OPT_COMMENT, OPT_TSRESOL, OPT_TSOFFSET = 1, 9, 14
-RECORD_MOST = 256 * 1024  # captured bytes of one packet
-BLOCK_MOST = 16 * 1024 * 1024  # of a block that is read whole; longer ones are passed over
-INTERFACES_MOST = 4096
+MAX_PACKET_BYTES = 256 * 1024  # captured bytes of one packet
+MAX_BLOCK_BYTES = 16 * 1024 * 1024  # of a block that is read whole; longer ones are passed over
+MAX_INTERFACES = 4096
 
 
 class NotACapture(Exception):
@@ -36,14 +36,14 @@
     comment: str = ""
 
 
-class Records(Protocol):
+class PacketReader(Protocol):
     """What reads one file."""
 
     def __iter__(self) -> Iterator[Packet]: ...
 
 
-class _Reader:
-    def __init__(self, source: Source, problems: Problems) -> None:
+class _FileReader:
+    def __init__(self, source: ByteSource, problems: Problems) -> None:
         self.source, self.problems = source, problems
         self.number = 0
 
@@ -78,13 +78,13 @@
         return Packet(self.number, offset, time_ns, link, data, length, comment)
 
 
-class Classic(_Reader):
+class PcapReader(_FileReader):
     """Classic pcap, in both byte orders, with microseconds or nanoseconds."""
 
-    def __init__(self, source: Source, problems: Problems, magic: bytes) -> None:
+    def __init__(self, source: ByteSource, problems: Problems, magic: bytes) -> None:
         super().__init__(source, problems)
-        self.order = "<" if struct.unpack("<I", magic)[0] in (MICRO, NANO) else ">"
-        nano = struct.unpack(self.order + "I", magic)[0] == NANO
+        self.order = "<" if struct.unpack("<I", magic)[0] in (MAGIC_MICROSECONDS, MAGIC_NANOSECONDS) else ">"
+        nano = struct.unpack(self.order + "I", magic)[0] == MAGIC_NANOSECONDS
         self.unit, self.fraction_most = (1, 10**9) if nano else (1000, 10**6)
         rest = source.read(20)
         if len(rest) < 20:
@@ -101,7 +101,7 @@
                     self.ended("a record's head", offset, len(raw), 16)
                 return
             seconds, fraction, kept, length = head.unpack(raw)
-            if kept > RECORD_MOST:
+            if kept > MAX_PACKET_BYTES:
                 self.tell(
                     ProblemKind.BAD_RECORD, f"a record of {kept} bytes; where the next begins can't be told",
                     offset, self.number + 1,
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Interface:
+class CaptureInterface:
     link: int
     snap: int
     ticks: int  # a second; a power of 10 or 2
@@ -143,13 +143,13 @@
         at += 4 + (size + 3) // 4 * 4
 
 
-class Pcapng(_Reader):
+class PcapngReader(_FileReader):
     """pcapng: any number of sections and interfaces; blocks that are not known are passed over by length."""
 
-    def __init__(self, source: Source, problems: Problems) -> None:
+    def __init__(self, source: ByteSource, problems: Problems) -> None:
         super().__init__(source, problems)
         self.order = "<"
-        self.interfaces: list[Interface] = []
+        self.interfaces: list[CaptureInterface] = []
         self.sections = 0
         self.last_ns = 0
         self._begin(0)
@@ -158,10 +158,10 @@
         """The rest of a section header; its type has been read. Raises NotCapture in the first one."""
         raw = self.source.read(8)
         order = next(
-            (o for o in "<>" if len(raw) == 8 and struct.unpack(o + "I", raw[4:])[0] == BYTE_ORDER), ""
+            (o for o in "<>" if len(raw) == 8 and struct.unpack(o + "I", raw[4:])[0] == BYTE_ORDER_MAGIC), ""
         )
         size = struct.unpack(order + "I", raw[:4])[0] if order else 0
-        if not order or size < 28 or size % 4 or size > BLOCK_MOST:
+        if not order or size < 28 or size % 4 or size > MAX_BLOCK_BYTES:
             if not self.sections:
                 raise NotACapture(
                     "the capture ends inside its header" if len(raw) < 8 else "no pcapng section"
@@ -187,7 +187,7 @@
         while True:
             offset = source.offset
             raw = source.read(4)
-            if len(raw) == 4 and struct.unpack("<I", raw)[0] == SECTION:
+            if len(raw) == 4 and struct.unpack("<I", raw)[0] == SECTION_HEADER_BLOCK:
                 if not self._begin(offset):
                     return
                 continue
@@ -204,7 +204,12 @@
                     offset,
                 )
                 return
-            if size > BLOCK_MOST or kind not in (INTERFACE, OLD_PACKET, SIMPLE, ENHANCED):
+            if size > MAX_BLOCK_BYTES or kind not in (
+                INTERFACE_DESCRIPTION_BLOCK,
+                OBSOLETE_PACKET_BLOCK,
+                SIMPLE_PACKET_BLOCK,
+                ENHANCED_PACKET_BLOCK,
+            ):
                 if source.skip(size - 8) < size - 8:
                     self.ended("a block", offset, source.offset - offset, size)
                     return
@@ -225,22 +230,22 @@
 
     def _block(self, kind: int, body: bytes, offset: int) -> Packet | None:
         order = self.order
-        if kind == INTERFACE:
+        if kind == INTERFACE_DESCRIPTION_BLOCK:
             self._interface(body)
             return None
-        if kind == SIMPLE:
+        if kind == SIMPLE_PACKET_BLOCK:
             (length,) = struct.unpack_from(order + "I", body)
             on = self.interfaces[0]
             kept = min(length, on.snap or length, len(body) - 4)
-            if kept > RECORD_MOST:
+            if kept > MAX_PACKET_BYTES:
                 raise ValueError(f"{kept} bytes are kept")
             # it carries no time of its own: that of the packet before it is the nearest known
             return self.packet(offset, self.last_ns, on.link, body[4 : 4 + kept], length)
-        if kind == ENHANCED:
+        if kind == ENHANCED_PACKET_BLOCK:
             index, high, low, kept, length = struct.unpack_from(order + "IIIII", body)
         else:
             index, _, high, low, kept, length = struct.unpack_from(order + "HHIIII", body)
-        if kept > min(len(body) - 20, RECORD_MOST):
+        if kept > min(len(body) - 20, MAX_PACKET_BYTES):
             raise ValueError(f"{kept} bytes are kept in a block of {len(body) + 12}")
         if index >= len(self.interfaces):
             raise ValueError(f"interface {index} is not described")
@@ -264,21 +269,25 @@
                 ticks = 2**power if value[0] & 0x80 else 10**power
             elif code == OPT_TSOFFSET and len(value) == 8:
                 (offset_s,) = struct.unpack(self.order + "q", value)
-        if len(self.interfaces) >= INTERFACES_MOST:
+        if len(self.interfaces) >= MAX_INTERFACES:
             raise ValueError("too many interfaces")
-        self.interfaces.append(Interface(link, snap, ticks, offset_s))
+        self.interfaces.append(CaptureInterface(link, snap, ticks, offset_s))
 
 
-def records(source: Source, problems: Problems) -> Records:
+def read_packets(source: ByteSource, problems: Problems) -> PacketReader:
     """Raises NotCapture where the file is none."""
     magic = source.read(4)
     if len(magic) < 4:
         raise NotACapture(
             "the capture ends inside its header" if magic or source.damage else "the file is empty"
         )
-    known = {struct.pack(order + "I", number) for order in "<>" for number in (MICRO, NANO)}
+    known = {
+        struct.pack(order + "I", number)
+        for order in "<>"
+        for number in (MAGIC_MICROSECONDS, MAGIC_NANOSECONDS)
+    }
     if magic in known:
-        return Classic(source, problems, magic)
-    if struct.unpack("<I", magic)[0] == SECTION:
-        return Pcapng(source, problems)
+        return PcapReader(source, problems, magic)
+    if struct.unpack("<I", magic)[0] == SECTION_HEADER_BLOCK:
+        return PcapngReader(source, problems)
     raise NotACapture("neither pcap nor pcapng")
--- a/landingdeal/capture/fragments.py
+++ b/landingdeal/capture/fragments.py
@@ -10,53 +10,55 @@
 from collections import OrderedDict
 from dataclasses import dataclass, replace
 
-from landingdeal.capture.layers import TCP, Ip
+from landingdeal.capture.layers import IPPROTO_TCP, IpPacket
 
-WAIT_NS = 30 * 10**9  # for the missing ones, by the latest time that the capture has shown
-BYTES_MOST = 16 * 1024 * 1024  # held at once; above it the oldest packet is dropped
-PACKETS_MOST = 4096
-REPEAT_NS = 10**9  # so long after a packet was whole its fragments may come once more
-WHOLE_MOST = 65535
-TCP_LEAST = 16  # bytes of a TCP header up to its flags and checksum: RFC 3128 has a first fragment hold them
-TCP_HEADER_FRAGMENT = 8  # a fragment that begins there overlays the flags
+REASSEMBLY_TIMEOUT_NS = 30 * 10**9  # for the missing ones, by the latest time that the capture has shown
+MAX_BUFFERED_BYTES = 16 * 1024 * 1024  # held at once; above it the oldest packet is dropped
+MAX_PACKETS = 4096
+DUPLICATE_WINDOW_NS = 10**9  # so long after a packet was whole its fragments may come once more
+MAX_IP_PACKET_BYTES = 65535
+MIN_TCP_FIRST_FRAGMENT_BYTES = (
+    16  # bytes of a TCP header up to its flags and checksum: RFC 3128 has a first fragment hold them
+)
+TCP_FLAGS_FRAGMENT_OFFSET = 8  # a fragment that begins there overlays the flags
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class FailedReassembly:
     """A packet that could not be put together; `place` is that of its first fragment seen."""
 
     overlap: bool
     why: str
-    place: tuple[int, int]  # offset in the file, number of the packet
+    position: tuple[int, int]  # offset in the file, number of the packet
 
 
-class _Partial:
-    __slots__ = ("parts", "size", "whole", "began_ns", "place", "refused", "first")
+class _PartialPacket:
+    __slots__ = ("parts", "size", "whole", "began_ns", "position", "refused", "first")
 
-    def __init__(self, began_ns: int, place: tuple[int, int]) -> None:
+    def __init__(self, began_ns: int, position: tuple[int, int]) -> None:
         self.parts: dict[int, bytes] = {}  # by where they begin
         self.size = 0
         self.whole = -1  # known once the last fragment has been seen
-        self.began_ns, self.place = began_ns, place
+        self.began_ns, self.position = began_ns, position
         self.refused = False
-        self.first: Ip | None = None
+        self.first: IpPacket | None = None
 
 
-_Key = tuple[int, str, str, int, int]
+_PacketKey = tuple[int, str, str, int, int]
 
 
-class Fragments:
+class FragmentReassembler:
     """`feed` gives the whole packet with the fragment that completes it; `lost` holds what was given up."""
 
-    def __init__(self, wait_ns: int = WAIT_NS, bytes_most: int = BYTES_MOST) -> None:
+    def __init__(self, wait_ns: int = REASSEMBLY_TIMEOUT_NS, bytes_most: int = MAX_BUFFERED_BYTES) -> None:
         self.wait_ns, self.bytes_most = wait_ns, bytes_most
-        self.partials: OrderedDict[_Key, _Partial] = OrderedDict()  # the oldest first
-        self.done: OrderedDict[_Key, int] = OrderedDict()  # packets that were whole of late, and when
+        self.partials: OrderedDict[_PacketKey, _PartialPacket] = OrderedDict()  # the oldest first
+        self.done: OrderedDict[_PacketKey, int] = OrderedDict()  # packets that were whole of late, and when
         self.held = 0
         self.now_ns = 0
-        self.lost: list[Lost] = []
+        self.lost: list[FailedReassembly] = []
 
-    def feed(self, part: Ip, time_ns: int, place: tuple[int, int]) -> Ip | None:
+    def feed(self, part: IpPacket, time_ns: int, position: tuple[int, int]) -> IpPacket | None:
         self.now_ns = max(self.now_ns, time_ns)
         self._expire()
         key = part.version, part.source, part.target, part.protocol if part.version == 4 else 0, part.ident
@@ -64,7 +66,7 @@
         if partial is None and key in self.done:
             return None
         if partial is None:
-            partial = self.partials[key] = _Partial(self.now_ns, place)
+            partial = self.partials[key] = _PartialPacket(self.now_ns, position)
         if partial.refused:
             return None
         why = self._objection(partial, part)
@@ -96,10 +98,10 @@
             self._give_up(key, "the capture ends")
 
     @staticmethod
-    def _objection(partial: _Partial, part: Ip) -> str:
+    def _objection(partial: _PartialPacket, part: IpPacket) -> str:
         """Why the whole packet is refused because of this fragment; empty if it is not."""
         begin, end = part.at, part.at + len(part.payload)
-        if end > WHOLE_MOST:
+        if end > MAX_IP_PACKET_BYTES:
             return f"a fragment ends at byte {end}, beyond what an IP packet can hold"
         if part.short:
             return f"a fragment was cut by {part.short} bytes"
@@ -109,10 +111,10 @@
             return f"a fragment ends at byte {end} of a packet of {partial.whole}"
         if not part.more and any(at + len(data) > end for at, data in partial.parts.items()):
             return f"the last fragment ends at byte {end}, before another"
-        if part.version == 4 and part.protocol == TCP:
-            if begin == TCP_HEADER_FRAGMENT:
+        if part.version == 4 and part.protocol == IPPROTO_TCP:
+            if begin == TCP_FLAGS_FRAGMENT_OFFSET:
                 return "a fragment lies over the TCP flags (RFC 3128)"
-            if begin == 0 and part.more and len(part.payload) < TCP_LEAST:
+            if begin == 0 and part.more and len(part.payload) < MIN_TCP_FIRST_FRAGMENT_BYTES:
                 return "the first fragment does not hold the TCP header (RFC 3128)"
         for at, data in partial.parts.items():
             if begin >= at + len(data) or at >= end:
@@ -127,7 +129,7 @@
         return ""
 
     @staticmethod
-    def _whole(partial: _Partial) -> bytes | None:
+    def _whole(partial: _PartialPacket) -> bytes | None:
         if partial.whole < 0 or partial.first is None or partial.size < partial.whole:
             return None
         made = b""
@@ -139,27 +141,29 @@
 
     # --- bounds ---
 
-    def _refuse(self, partial: _Partial, why: str) -> None:
+    def _refuse(self, partial: _PartialPacket, why: str) -> None:
         """It stays known, without its bytes, so that the rest of it is passed over."""
         self.held -= partial.size
         partial.parts.clear()
         partial.size, partial.refused = 0, True
-        self.lost.append(Lost(True, why, partial.place))
+        self.lost.append(FailedReassembly(True, why, partial.position))
 
-    def _drop(self, key: _Key) -> None:
+    def _drop(self, key: _PacketKey) -> None:
         self.held -= self.partials.pop(key).size
 
-    def _give_up(self, key: _Key, why: str) -> None:
+    def _give_up(self, key: _PacketKey, why: str) -> None:
         partial = self.partials[key]
         if not partial.refused:
             told = f"of {partial.whole} bytes" if partial.whole >= 0 else "of a packet whose end is not known"
-            self.lost.append(Lost(False, f"{partial.size} bytes came {told}: {why}", partial.place))
+            self.lost.append(
+                FailedReassembly(False, f"{partial.size} bytes came {told}: {why}", partial.position)
+            )
         self._drop(key)
 
     def _expire(self) -> None:
         while self.done:
             key, at = next(iter(self.done.items()))
-            if self.now_ns - at <= REPEAT_NS and len(self.done) <= PACKETS_MOST:
+            if self.now_ns - at <= DUPLICATE_WINDOW_NS and len(self.done) <= MAX_PACKETS:
                 break
             del self.done[key]
         while self.partials:
@@ -169,5 +173,5 @@
             self._give_up(key, f"the rest did not come within {self.wait_ns // 10**9} s")
 
     def _bound(self) -> None:
-        while self.held > self.bytes_most or len(self.partials) > PACKETS_MOST:
+        while self.held > self.bytes_most or len(self.partials) > MAX_PACKETS:
             self._give_up(next(iter(self.partials)), "dropped for room")
--- a/landingdeal/capture/language.py
+++ b/landingdeal/capture/language.py
@@ -49,7 +49,7 @@
     "source": lambda call: call.source[0],
     "target": lambda call: call.target[0],
     "outcome": lambda call: call.outcome.value,
-    "ended_by": lambda call: call.bye_by.value if call.bye_by else "",
+    "ended_by": lambda call: call.released_by.value if call.released_by else "",
 }
 NUMBERS: dict[str, Field] = {
     "number": lambda call: call.number,
@@ -57,7 +57,7 @@
     "answer_ms": lambda call: call.answer_ms,
     "hold_ms": lambda call: call.hold_ms,
     "patience_ms": lambda call: call.patience_ms,
-    "later_ms": lambda call: call.later_ms,
+    "later_ms": lambda call: call.retry_after_ms,
     "cause": lambda call: call.cause,
     "retransmissions": lambda call: call.retransmissions,
     "reinvites": lambda call: len(call.reinvites),
@@ -67,7 +67,7 @@
 }
 FLAGS: dict[str, Field] = {
     "again": lambda call: call.first_try > 0,
-    "begun_before": lambda call: call.begun_before,
+    "begun_before": lambda call: call.started_before_capture,
     "cut_off": lambda call: call.cut_off,
     "answered": lambda call: call.answer_ns >= 0,
 }
--- a/landingdeal/capture/messages.py
+++ b/landingdeal/capture/messages.py
@@ -8,20 +8,20 @@
 from dataclasses import dataclass
 
 from landingdeal.capture.formats import Packet
-from landingdeal.capture.fragments import Fragments
+from landingdeal.capture.fragments import FragmentReassembler
 from landingdeal.capture.layers import (
     Address,
-    BadPacket,
-    Datagram,
-    Ip,
-    NotForUs,
-    Segment,
-    Sum,
-    ip_of,
-    transport_of,
+    ChecksumStatus,
+    IpPacket,
+    MalformedPacket,
+    TcpSegment,
+    UdpDatagram,
+    UnsupportedProtocol,
+    decode_frame,
+    decode_transport,
 )
 from landingdeal.capture.problems import Problem, ProblemKind, Problems
-from landingdeal.capture.streams import Bytes, Conflict, Ended, Event, Streams
+from landingdeal.capture.streams import OverlapConflict, StreamData, StreamEnded, StreamEvent, TcpReassembler
 from landingdeal.sip.message import (
     MAX_MESSAGE,
     BrokenFraming,
@@ -31,18 +31,18 @@
     decode_datagram,
 )
 
-Place = tuple[int, int]
-Ends = tuple[Address, Address]
+PacketPosition = tuple[int, int]
+Endpoints = tuple[Address, Address]
 
 # a start line, as RFC 3261 7.1 and 7.2 have it, at the beginning of a line
 # anywhere where the method is one of the usual ones, since a body need not end with a line
-START = re.compile(
+START_LINE = re.compile(
     rb"(?:(?<=\n)[A-Za-z0-9.!%*_+`'~-]{1,32}"
     rb"|INVITE|ACK|BYE|CANCEL|OPTIONS|REGISTER|INFO|PRACK|UPDATE|NOTIFY|SUBSCRIBE|MESSAGE|REFER|PUBLISH)"
     rb" \S{1,2048} SIP/2\.0\r\n|SIP/2\.0 [1-6][0-9]{2} [^\r\n]*\r\n"
 )
-FOREIGN_MOST = 32 * 1024  # bytes of a direction without a start line: it carries something else
-STREAMS_MOST = 4096
+MAX_RESYNC_BYTES = 32 * 1024  # bytes of a direction without a start line: it carries something else
+MAX_STREAMS = 4096
 
 
 def looks_like_sip(data: bytes) -> bool:
@@ -60,7 +60,7 @@
     source: Address
     target: Address
     message: Message
-    place: Place  # offset in the file and number of that packet
+    position: PacketPosition  # offset in the file and number of that packet
     file: str = ""
 
 
@@ -81,11 +81,11 @@
 
     def __init__(self, problems: Problems, file: str = "", strict_checksums: bool = False) -> None:
         self.problems, self.file, self.strict = problems, file, strict_checksums
-        self.fragments, self.streams = Fragments(), Streams()
-        self.directions: OrderedDict[Ends, _Direction] = OrderedDict()
+        self.fragments, self.streams = FragmentReassembler(), TcpReassembler()
+        self.directions: OrderedDict[Endpoints, _Direction] = OrderedDict()
         self.counts: Counter[str] = Counter()
         self.last_ns = self.first_ns = 0
-        self._place: Place = (-1, 0)
+        self._last_position: PacketPosition = (-1, 0)
 
     def run(self, packets: Iterable[Packet]) -> Iterator[CapturedMessage]:
         for packet in packets:
@@ -93,7 +93,7 @@
         yield from self.end()
 
     def feed(self, packet: Packet) -> Iterator[CapturedMessage]:
-        self._place = place = packet.offset, packet.number
+        self._last_position = position = packet.offset, packet.number
         self.counts["packets"] += 1
         self.counts["bytes"] += len(packet.data)
         if self.counts["packets"] == 1:
@@ -102,101 +102,108 @@
             self.counts["clock went back"] += 1
         self.last_ns = max(self.last_ns, packet.time_ns)
         try:
-            ip = ip_of(packet.link, packet.data)
+            ip = decode_frame(packet.link, packet.data)
             if ip.fragment:
                 self.counts["fragments"] += 1
-                whole = self.fragments.feed(ip, packet.time_ns, place)
+                whole = self.fragments.feed(ip, packet.time_ns, position)
                 self._lost_fragments()
                 if whole is None:
                     return
                 ip = whole
-            yield from self._whole(ip, packet.time_ns, place)
-        except NotForUs as why:
+            yield from self._whole(ip, packet.time_ns, position)
+        except UnsupportedProtocol as why:
             self.counts[str(why)] += 1
-        except BadPacket as why:
+        except MalformedPacket as why:
             if packet.length == len(packet.data):  # else the cut has been told already
-                self._tell(ProblemKind.BAD_RECORD, str(why), place)
+                self._tell(ProblemKind.BAD_RECORD, str(why), position)
 
     def end(self) -> Iterator[CapturedMessage]:
         self.fragments.end()
         self._lost_fragments()
-        for ends, event in self.streams.end(self._place):
+        for ends, event in self.streams.end(self._last_position):
             yield from self._event(ends, event)
 
-    def _tell(self, kind: ProblemKind, detail: str, place: Place) -> None:
-        self.problems.add(Problem(kind, detail, *place, self.file))
+    def _tell(self, kind: ProblemKind, detail: str, position: PacketPosition) -> None:
+        self.problems.add(Problem(kind, detail, *position, self.file))
 
     def _lost_fragments(self) -> None:
         for lost in self.fragments.lost:
             kind = ProblemKind.FRAGMENT_OVERLAP if lost.overlap else ProblemKind.FRAGMENT_MISSING
-            self._tell(kind, lost.why, lost.place)
+            self._tell(kind, lost.why, lost.position)
         self.fragments.lost.clear()
 
-    def _whole(self, ip: Ip, time_ns: int, place: Place) -> Iterator[CapturedMessage]:
-        made = transport_of(ip)
-        made_sum = Sum.ABSENT if ip.short else made.sum  # of what was cut it can't be told
-        if made_sum is not Sum.GOOD:
+    def _whole(self, ip: IpPacket, time_ns: int, position: PacketPosition) -> Iterator[CapturedMessage]:
+        made = decode_transport(ip)
+        made_sum = ChecksumStatus.ABSENT if ip.short else made.sum  # of what was cut it can't be told
+        if made_sum is not ChecksumStatus.GOOD:
             self.counts[f"checksum {made_sum.value}"] += 1
-        if made_sum is Sum.WRONG and (self.strict or looks_like_sip(made.payload)):
-            self._tell(ProblemKind.BAD_CHECKSUM, f"{made.source[0]} to {made.target[0]}", place)
+        if made_sum is ChecksumStatus.WRONG and (self.strict or looks_like_sip(made.payload)):
+            self._tell(ProblemKind.BAD_CHECKSUM, f"{made.source[0]} to {made.target[0]}", position)
             if self.strict:
                 return
-        if isinstance(made, Segment):
-            for ends, event in self.streams.feed(made, time_ns, place):
+        if isinstance(made, TcpSegment):
+            for ends, event in self.streams.feed(made, time_ns, position):
                 yield from self._event(ends, event)
         else:
-            yield from self._datagram(made, ip.short, time_ns, place)
+            yield from self._datagram(made, ip.short, time_ns, position)
 
-    def _datagram(self, made: Datagram, short: int, time_ns: int, place: Place) -> Iterator[CapturedMessage]:
+    def _datagram(
+        self, made: UdpDatagram, short: int, time_ns: int, position: PacketPosition
+    ) -> Iterator[CapturedMessage]:
         if not made.payload.strip(b"\r\n\0"):
             self.counts["keep-alives"] += 1
         elif not looks_like_sip(made.payload):
             self.counts["other payloads"] += 1
         elif len(made.payload) > 65536:
-            self._tell(ProblemKind.MALFORMED_MESSAGE, "over 64 KiB", place)
+            self._tell(ProblemKind.MALFORMED_MESSAGE, "over 64 KiB", position)
         else:
             yield from self._message(
-                "UDP", (made.source, made.target), decode_datagram(made.payload), time_ns, place
+                "UDP", (made.source, made.target), decode_datagram(made.payload), time_ns, position
             )
 
     def _message(
-        self, transport: str, ends: Ends, message: Message | Malformed, time_ns: int, place: Place
+        self,
+        transport: str,
+        ends: Endpoints,
+        message: Message | Malformed,
+        time_ns: int,
+        position: PacketPosition,
     ) -> Iterator[CapturedMessage]:
         if isinstance(message, Malformed):
-            self._tell(ProblemKind.MALFORMED_MESSAGE, message.why, place)
+            self._tell(ProblemKind.MALFORMED_MESSAGE, message.why, position)
             return
         self.counts["messages"] += 1
-        yield CapturedMessage(time_ns, transport, *ends, message, place, self.file)
+        yield CapturedMessage(time_ns, transport, *ends, message, position, self.file)
 
     # --- streams ---
 
-    def _event(self, ends: Ends, event: Event) -> Iterator[CapturedMessage]:
-        if isinstance(event, Conflict):
+    def _event(self, ends: Endpoints, event: StreamEvent) -> Iterator[CapturedMessage]:
+        if isinstance(event, OverlapConflict):
             self._tell(
                 ProblemKind.TCP_CONFLICT,
                 f"byte {event.at} of {_way(ends)}: {event.size} bytes differ",
-                event.place,
+                event.position,
             )
             return
         direction = self.directions.get(ends)
-        if isinstance(event, Ended):
+        if isinstance(event, StreamEnded):
             if direction is not None:
                 self._over(direction, ends, event)
                 del self.directions[ends]
             return
         if direction is None:
             direction = self.directions[ends] = _Direction()
-            while len(self.directions) > STREAMS_MOST:
+            while len(self.directions) > MAX_STREAMS:
                 self.directions.popitem(last=False)
         if event.gap:
-            if direction.searched <= FOREIGN_MOST and not (direction.lost and direction.searched):
+            if direction.searched <= MAX_RESYNC_BYTES and not (direction.lost and direction.searched):
                 self._tell(
-                    ProblemKind.TCP_GAP, f"{event.gap} bytes of {_way(ends)} are not there", event.place
+                    ProblemKind.TCP_GAP, f"{event.gap} bytes of {_way(ends)} are not there", event.position
                 )
             direction.framer, direction.lost, direction.held = Framer(), True, b""
         yield from self._bytes(direction, ends, event)
 
-    def _bytes(self, direction: _Direction, ends: Ends, event: Bytes) -> Iterator[CapturedMessage]:
+    def _bytes(self, direction: _Direction, ends: Endpoints, event: StreamData) -> Iterator[CapturedMessage]:
         data = event.data
         while data:
             if direction.lost:
@@ -211,9 +218,9 @@
                 broken = str(error)
             data = b""
             for message in made:
-                yield from self._message("TCP", ends, message, event.time_ns, event.place)
+                yield from self._message("TCP", ends, message, event.time_ns, event.position)
             if broken:
-                self._tell(ProblemKind.MALFORMED_MESSAGE, broken, event.place)
+                self._tell(ProblemKind.MALFORMED_MESSAGE, broken, event.position)
                 rest = direction.framer.held
                 _, _, data = rest.partition(b"\n")  # past the start line that led nowhere
                 direction.framer, direction.lost, direction.held = Framer(), True, b""
@@ -221,23 +228,23 @@
     def _find(self, direction: _Direction, data: bytes) -> bytes:
         """The bytes from the next start line on; what can't be told yet is held."""
         held = direction.held + data
-        start = START.search(held)
+        start = START_LINE.search(held)
         if start is not None:
             direction.lost, direction.held, direction.searched = False, b"", 0
             return held[start.start() :]
         direction.searched += len(data)
-        direction.held = held[-4096:] if direction.searched <= FOREIGN_MOST else b""
+        direction.held = held[-4096:] if direction.searched <= MAX_RESYNC_BYTES else b""
         return b""
 
-    def _over(self, direction: _Direction, ends: Ends, event: Ended) -> None:
+    def _over(self, direction: _Direction, ends: Endpoints, event: StreamEnded) -> None:
         left = direction.framer.held.strip(b"\r\n")
         if not direction.lost and left:
             what = f"{_way(ends)} ends ({event.how}) {len(left)} bytes into a message"
             kind = ProblemKind.TCP_GAP if event.how == "the capture ends" else ProblemKind.MALFORMED_MESSAGE
-            self._tell(kind, what, event.place)
+            self._tell(kind, what, event.position)
 
 
-def _way(ends: Ends) -> str:
+def _way(ends: Endpoints) -> str:
     (source, source_port), (target, target_port) = ends
     return f"{source}:{source_port} to {target}:{target_port}"
 
--- a/landingdeal/capture/plan.py
+++ b/landingdeal/capture/plan.py
@@ -60,7 +60,7 @@
 
 def playable(call: CallRecord) -> str:
     """Why a call can't be offered; empty if it can."""
-    if call.invite is None or call.begun_before:
+    if call.invite is None or call.started_before_capture:
         return "begun before the capture"
     return ""
 
@@ -70,10 +70,10 @@
     assert call.invite is not None
     cancel = (call.cancel_ns - call.invite_ns) / 1e6 if call.cancel_ns >= 0 else -1.0
     hold = -1.0
-    if call.outcome is Outcome.STOOD:
-        if call.bye_by is Party.CALLER:
+    if call.outcome is Outcome.ESTABLISHED:
+        if call.released_by is Party.CALLER:
             hold = call.hold_ms
-        elif call.bye_by is Party.CALLED:
+        elif call.released_by is Party.CALLED:
             hold = call.hold_ms + shape.linger_ms  # it is for the other side to end it; else we do
         else:
             hold = shape.linger_ms  # its end is not in the capture
--- a/landingdeal/capture/player.py
+++ b/landingdeal/capture/player.py
@@ -168,7 +168,7 @@
         else:
             withdrawn = self.cancelled and status == 487
             timed_out = not message.get("via")  # made by our own timers
-            self.result.outcome = Outcome.WITHDRAWN if withdrawn else Outcome.REFUSED
+            self.result.outcome = Outcome.CANCELLED if withdrawn else Outcome.REFUSED
             if timed_out:
                 self.result.outcome, self.result.status = Outcome.UNANSWERED, 0
                 self.result.error = "no answer" if status == 408 else "the connection failed"
@@ -178,7 +178,7 @@
 
     def _stands(self, message: Message) -> None:
         assert self.transaction is not None
-        self.result.outcome = Outcome.STOOD
+        self.result.outcome = Outcome.ESTABLISHED
         self.dialog = Dialog(self.transaction.request, message, self.flow, True)
         self._ack()
         self.answered(self)
--- a/landingdeal/capture/problems.py
+++ b/landingdeal/capture/problems.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-KEPT_MOST = 10_000  # problems told one by one; all of them are counted
+MAX_LISTED_PROBLEMS = 10_000  # problems told one by one; all of them are counted
 
 
 class ProblemKind(StrEnum):
@@ -31,22 +31,22 @@
     file: str = ""
 
     def line(self) -> str:
-        place = f" at byte {self.offset}" if self.offset >= 0 else ""
-        packet = f", packet {self.packet}" if self.packet else ""
-        return f"{self.file or 'capture'}{place}{packet}: {self.kind}: {self.detail}"
+        byte_text = f" at byte {self.offset}" if self.offset >= 0 else ""
+        packet_text = f", packet {self.packet}" if self.packet else ""
+        return f"{self.file or 'capture'}{byte_text}{packet_text}: {self.kind}: {self.detail}"
 
 
 class Problems:
     """A bounded list of them, and how many there were of each kind."""
 
     def __init__(self) -> None:
-        self.kept: list[Problem] = []
+        self.listed: list[Problem] = []
         self.counts: Counter[ProblemKind] = Counter()
 
     def add(self, problem: Problem) -> None:
         self.counts[problem.kind] += 1
-        if len(self.kept) < KEPT_MOST:
-            self.kept.append(problem)
+        if len(self.listed) < MAX_LISTED_PROBLEMS:
+            self.listed.append(problem)
 
     def __len__(self) -> int:
         return self.counts.total()
--- a/landingdeal/capture/reader.py
+++ b/landingdeal/capture/reader.py
@@ -8,12 +8,12 @@
 from contextlib import ExitStack
 from dataclasses import dataclass, field
 
-from landingdeal.capture.formats import NotACapture, records
+from landingdeal.capture.formats import NotACapture, read_packets
 from landingdeal.capture.messages import CapturedMessage, MessageExtractor
 from landingdeal.capture.problems import Problem, ProblemKind, Problems
-from landingdeal.capture.source import Source, open_source
+from landingdeal.capture.source import ByteSource, open_source
 
-LATE_NS = 1_000 * 10**6  # within one file, messages are put in order of time over so much of it
+REORDER_WINDOW_NS = 1_000 * 10**6  # within one file, messages are put in order of time over so much of it
 
 
 @dataclass
@@ -36,21 +36,21 @@
 ) -> Iterator[CapturedMessage]:
     """The messages of all files in order of time. Raises OSError; what is no capture is a problem."""
     with ExitStack() as stack:
-        ways = []
+        streams = []
         for path in paths:
             source = open_source(path)
             stack.callback(source.close)
-            ways.append(_ordered(_one(source, reading, strict_checksums)))
-        if len(ways) == 1:
-            yield from ways[0]
+            streams.append(_sorted_by_time(_read_file(source, reading, strict_checksums)))
+        if len(streams) == 1:
+            yield from streams[0]
         else:
-            yield from heapq.merge(*ways, key=lambda seen: seen.time_ns)
+            yield from heapq.merge(*streams, key=lambda captured: captured.time_ns)
 
 
-def _one(source: Source, reading: ReadReport, strict: bool) -> Iterator[CapturedMessage]:
+def _read_file(source: ByteSource, reading: ReadReport, strict: bool) -> Iterator[CapturedMessage]:
     messages = MessageExtractor(reading.problems, source.name, strict)
     try:
-        yield from messages.run(records(source, reading.problems))
+        yield from messages.run(read_packets(source, reading.problems))
     except NotACapture as error:
         reading.problems.add(Problem(ProblemKind.NOT_A_CAPTURE, str(error), 0, 0, source.name))
     finally:
@@ -60,14 +60,14 @@
             reading.first_ns, reading.last_ns = first, max(reading.last_ns, messages.last_ns)
 
 
-def _ordered(messages: Iterator[CapturedMessage]) -> Iterator[CapturedMessage]:
+def _sorted_by_time(messages: Iterator[CapturedMessage]) -> Iterator[CapturedMessage]:
     """In order of time, as far as packets of one file lie at most `LATE_NS` out of it."""
-    held: list[tuple[int, int, CapturedMessage]] = []
+    buffered: list[tuple[int, int, CapturedMessage]] = []
     newest, number = 0, 0
-    for seen in messages:
-        newest, number = max(newest, seen.time_ns), number + 1
-        heapq.heappush(held, (seen.time_ns, number, seen))
-        while held and held[0][0] <= newest - LATE_NS:
-            yield heapq.heappop(held)[2]
-    while held:
-        yield heapq.heappop(held)[2]
+    for captured in messages:
+        newest, number = max(newest, captured.time_ns), number + 1
+        heapq.heappush(buffered, (captured.time_ns, number, captured))
+        while buffered and buffered[0][0] <= newest - REORDER_WINDOW_NS:
+            yield heapq.heappop(buffered)[2]
+    while buffered:
+        yield heapq.heappop(buffered)[2]
--- a/landingdeal/capture/repair.py
+++ b/landingdeal/capture/repair.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from landingdeal.capture.formats import records
+from landingdeal.capture.formats import read_packets
 from landingdeal.capture.problems import ProblemKind, Problems
-from landingdeal.capture.source import GZIP, ZSTD, Source, open_source
+from landingdeal.capture.source import GZIP, ZSTD, ByteSource, open_source
 from landingdeal.errors import ConfigError
 
 CHUNK = 1024 * 1024
@@ -16,27 +16,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Repair:
-    kept: int  # bytes
-    cut: int
-    packets: int
-    why: str  # empty: nothing was wrong with the tail
+class RepairResult:
+    kept_bytes: int  # bytes
+    removed_bytes: int
+    packet_count: int
+    reason: str  # empty: nothing was wrong with the tail
 
 
-def _scan(source: Source) -> tuple[int, int, str]:
+def _scan(source: ByteSource) -> tuple[int, int, str]:
     """Where the last whole record ends, how many packets there are, and what comes after."""
     problems = Problems()
     packets = 0
-    reader = records(source, problems)
+    reader = read_packets(source, problems)
     for _packet in reader:
         packets += 1
-    last = problems.kept[-1] if problems.kept else None
+    last = problems.listed[-1] if problems.listed else None
     if last is None or last.kind not in TAIL or last.packet and last.packet <= packets:
         return source.offset, packets, ""
     return last.offset, packets, last.detail
 
 
-def repair(path: Path, out: Path) -> Repair:
+def repair(path: Path, out: Path) -> RepairResult:
     """Raises ConfigError on what is compressed, NotCapture on what is none, and OSError."""
     with path.open("rb") as file:
         head = file.read(4)
@@ -45,10 +45,10 @@
         size = os.fstat(file.fileno()).st_size
     source = open_source(str(path))
     try:
-        end, packets, why = _scan(source)
+        end, packets, reason = _scan(source)
     finally:
         source.close()
-    if not why:
+    if not reason:
         end = size
     part = out.with_name(out.name + ".part")
     with path.open("rb") as file, part.open("wb") as made:
@@ -59,4 +59,4 @@
         made.flush()
         os.fsync(made.fileno())
     os.replace(part, out)
-    return Repair(end, size - end, packets, why)
+    return RepairResult(end, size - end, packets, reason)
--- a/landingdeal/capture/replay.py
+++ b/landingdeal/capture/replay.py
@@ -294,11 +294,11 @@
             player.failed()
 
     def _answered(self, player: Player) -> None:
-        self.admission.answered(player.result.outcome is Outcome.STOOD)
+        self.admission.answered(player.result.outcome is Outcome.ESTABLISHED)
 
     def _over(self, player: Player) -> None:
         result = player.result
-        if result.outcome is Outcome.STOOD:
+        if result.outcome is Outcome.ESTABLISHED:
             self.admission.ended()
         # a late retransmission may still want its ACK: known for as long as a transaction lasts
         self.loop.at(self.loop.now() + min(self.timing.b, 2000.0), lambda: self._forget(player))
--- a/landingdeal/capture/results.py
+++ b/landingdeal/capture/results.py
@@ -87,7 +87,7 @@
         "classes": {
             name: {
                 "calls": len(found), "same": sum(map(same, found)),
-                "stood": sum(r.outcome is Outcome.STOOD for r in found),
+                "stood": sum(r.outcome is Outcome.ESTABLISHED for r in found),
                 "recorded_ms": _histogram([r.offered.recorded_ms for r in found]),
                 "replayed_ms": _histogram([r.answer_ms for r in found]),
             }
--- a/landingdeal/capture/rewrite.py
+++ b/landingdeal/capture/rewrite.py
@@ -20,16 +20,16 @@
 
 def written(messages: Iterable[CapturedMessage], form: CaptureEncoder) -> Iterator[bytes]:
     """A capture file of these messages, in pieces."""
-    yield form.head()
-    conversations, last = PacketBuilder(), 0
+    yield form.file_header()
+    builder, last = PacketBuilder(), 0
     for seen in messages:
-        put = conversations.datagram if seen.transport == "UDP" else conversations.stream
+        put = builder.datagram_frames if seen.transport == "UDP" else builder.stream_frames
         for number, frame in enumerate(put(seen.source, seen.target, encode(seen.message))):
             last = max(seen.time_ns + number * 1000, last + 1)
-            yield form.record(last, frame)
-    for frame in conversations.end():
+            yield form.packet_record(last, frame)
+    for frame in builder.close_all():
         last += 1000
-        yield form.record(last, frame)
+        yield form.packet_record(last, frame)
 
 
 # --- scrubbing ---
--- a/landingdeal/capture/rotation.py
+++ b/landingdeal/capture/rotation.py
@@ -10,9 +10,9 @@
 class RotationLimits:
     """0: without that bound."""
 
-    file_bytes: int = 64 * 1024 * 1024
-    file_ms: float = 15 * 60 * 1000.0
-    total_bytes: int = 1024 * 1024 * 1024  # of all files, the open one included
+    max_file_bytes: int = 64 * 1024 * 1024
+    max_file_ms: float = 15 * 60 * 1000.0
+    max_total_bytes: int = 1024 * 1024 * 1024  # of all files, the open one included
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,21 +23,21 @@
     size: int
 
 
-def full(bounds: RotationLimits, size: int, opened_ms: float, now_ms: float, more: int) -> bool:
+def needs_new_file(bounds: RotationLimits, size: int, opened_ms: float, now_ms: float, more: int) -> bool:
     """Whether `more` bytes go to a new file. A file that holds nothing yet takes any record."""
     if size <= 0:
         return False
-    too_large = 0 < bounds.file_bytes < size + more
-    return too_large or 0 < bounds.file_ms <= now_ms - opened_ms
+    too_large = 0 < bounds.max_file_bytes < size + more
+    return too_large or 0 < bounds.max_file_ms <= now_ms - opened_ms
 
 
-def to_remove(bounds: RotationLimits, closed: Sequence[ClosedFile], open_size: int) -> list[int]:
+def files_to_remove(bounds: RotationLimits, closed: Sequence[ClosedFile], open_size: int) -> list[int]:
     """Numbers of closed files that go, the oldest first; the open one never does."""
-    if bounds.total_bytes <= 0:
+    if bounds.max_total_bytes <= 0:
         return []
     total, gone = open_size + sum(file.size for file in closed), []
     for file in sorted(closed, key=lambda one: one.number):
-        if total <= bounds.total_bytes:
+        if total <= bounds.max_total_bytes:
             break
         total -= file.size
         gone.append(file.number)
--- a/landingdeal/capture/sink.py
+++ b/landingdeal/capture/sink.py
@@ -20,20 +20,20 @@
 
 from landingdeal.capture.encode import CaptureEncoder, PacketBuilder, PcapEncoder, PcapngEncoder
 from landingdeal.capture.layers import Address
-from landingdeal.capture.rotation import ClosedFile, RotationLimits, full, to_remove
+from landingdeal.capture.rotation import ClosedFile, RotationLimits, files_to_remove, needs_new_file
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.log import say
 from landingdeal.sip.message import Message, encode
 from landingdeal.threads import start_thread
 
-WAITING_MOST = 8192
-BATCH_MOST = 512
-AGAIN_MS = 1000.0  # after the disk refused a write
-CLASSES_MOST = 8192
+MAX_QUEUED_MESSAGES = 8192
+MAX_BATCH_MESSAGES = 512
+REOPEN_DELAY_MS = 1000.0  # after the disk refused a write
+MAX_REMEMBERED_CLASSES = 8192
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class QueuedMessage:
     """A message that was sent or received; without one, the end of a connection."""
 
     at_ms: float
@@ -50,11 +50,11 @@
     def __init__(self, path: Path, bounds: RotationLimits = RotationLimits(), compress: str = "") -> None:  # noqa: B008
         self.path, self.bounds, self.compress = path, bounds, compress
         self.form: CaptureEncoder = PcapngEncoder() if ".pcapng" in path.name else PcapEncoder()
-        self.queue: queue.Queue[Passed | None] = queue.Queue(WAITING_MOST)
+        self.queue: queue.Queue[QueuedMessage | None] = queue.Queue(MAX_QUEUED_MESSAGES)
         self.left_out = 0  # messages for which there was no room in the queue
         self.failed = 0  # and those that the disk did not take
         self.written = 0
-        self.conversations = PacketBuilder()
+        self.builder = PacketBuilder()
         self.classes: OrderedDict[str, str] = OrderedDict()
         self.file: BinaryIO | None = None
         self.size, self.opened_ms, self.last_ns = 0, 0.0, 0
@@ -68,12 +68,12 @@
     # --- from any thread ---
 
     def passed(self, transport: str, source: Address, target: Address, message: Message) -> None:
-        self._put(Passed(now_ms(), transport, source, target, message))
+        self._put(QueuedMessage(now_ms(), transport, source, target, message))
 
     def closed(self, source: Address, target: Address, reset: bool) -> None:
-        self._put(Passed(now_ms(), "TCP", source, target, None, reset))
+        self._put(QueuedMessage(now_ms(), "TCP", source, target, None, reset))
 
-    def _put(self, passed: Passed) -> None:
+    def _put(self, passed: QueuedMessage) -> None:
         try:
             self.queue.put_nowait(passed)
         except queue.Full:  # guards the core against a disk that is slow
@@ -92,20 +92,20 @@
         while going:
             batch = [self.queue.get()]
             with contextlib.suppress(queue.Empty):
-                while len(batch) < BATCH_MOST:
+                while len(batch) < MAX_BATCH_MESSAGES:
                     batch.append(self.queue.get_nowait())
             going = None not in batch
             self._write([passed for passed in batch if passed is not None])
         if self.file is not None:
             with contextlib.suppress(OSError):
-                for frame in self.conversations.end():
-                    self.file.write(self.form.record(self.last_ns, frame))
+                for frame in self.builder.close_all():
+                    self.file.write(self.form.packet_record(self.last_ns, frame))
                 self.file.close()
         told = f"capture: {self.written} messages written"
         say(f"{told}, {self.left_out} left out, {self.failed} not taken by the disk")
         self.ended.set()
 
-    def _write(self, batch: list[Passed]) -> None:
+    def _write(self, batch: list[QueuedMessage]) -> None:
         if not batch:
             return
         data = b"".join(self._records(passed) for passed in batch)
@@ -113,7 +113,7 @@
         if self.file is None and now >= self.shut_until_ms:
             with contextlib.suppress(OSError):
                 self._open()
-        if self.file is not None and full(self.bounds, self.size, self.opened_ms, now, len(data)):
+        if self.file is not None and needs_new_file(self.bounds, self.size, self.opened_ms, now, len(data)):
             self._rotate()
         if self.file is None:
             self.failed += len(batch)
@@ -128,19 +128,19 @@
         self.size += len(data)
         self.written += sum(passed.message is not None for passed in batch)
 
-    def _records(self, passed: Passed) -> bytes:
+    def _records(self, passed: QueuedMessage) -> bytes:
         message, ends = passed.message, (passed.source, passed.target)
         if message is None:
-            frames, comment = self.conversations.close(*ends, passed.reset), ""
+            frames, comment = self.builder.close_connection(*ends, passed.reset), ""
         else:
-            put = self.conversations.datagram if passed.transport == "UDP" else self.conversations.stream
+            put = self.builder.datagram_frames if passed.transport == "UDP" else self.builder.stream_frames
             frames, comment = put(*ends, encode(message)), self._comment(message)
         at, out = round(passed.at_ms * 1e6), []
         for number, frame in enumerate(frames):
             # packets of one message lie a microsecond apart, and none before one that was told earlier: a
             # reader that goes by time would see an answer before its request
             self.last_ns = max(at + 1000 * number, self.last_ns + 1)
-            out.append(self.form.record(self.last_ns, frame, comment))
+            out.append(self.form.packet_record(self.last_ns, frame, comment))
         return b"".join(out)
 
     def _comment(self, message: Message) -> str:
@@ -150,7 +150,7 @@
             call, attempt = message.call_id, ""
         if message.method == "INVITE" and message.get("subject"):
             self.classes[call] = message.get("subject")
-            while len(self.classes) > CLASSES_MOST:
+            while len(self.classes) > MAX_REMEMBERED_CLASSES:
                 self.classes.popitem(last=False)
         told = f"call {call}"
         if call in self.classes:
@@ -162,7 +162,7 @@
     def _open(self) -> None:
         """Raises OSError."""
         self.file = self.path.open("wb")
-        head = self.form.head()
+        head = self.form.file_header()
         self.file.write(head)
         self.file.flush()
         self.size, self.opened_ms = len(head), now_ms()
@@ -171,7 +171,7 @@
         """The disk is full, or gone: what was written stays as it is, and a new file is tried later."""
         say(f"capture: {why}; messages are left out")
         self._close()
-        self.shut_until_ms = now_ms() + AGAIN_MS
+        self.shut_until_ms = now_ms() + REOPEN_DELAY_MS
 
     def _close(self) -> Path | None:
         """Moves the file to its number; where it went."""
@@ -195,16 +195,18 @@
 
     def _rotate(self) -> None:
         moved = self._close()
-        self.conversations = PacketBuilder()  # each file tells its connections whole
+        self.builder = PacketBuilder()  # each file tells its connections whole
         try:
             self._open()
         except OSError as error:
             say(f"capture: {error}; messages are left out")
-            self.shut_until_ms = now_ms() + AGAIN_MS
+            self.shut_until_ms = now_ms() + REOPEN_DELAY_MS
         if moved is not None and self.compress:
             number = self.number
             start_thread("capture-compress", lambda: self._squeeze(moved, number))
-        for number in to_remove(self.bounds, self.closed_files, max(self.size, self.bounds.file_bytes)):
+        for number in files_to_remove(
+            self.bounds, self.closed_files, max(self.size, self.bounds.max_file_bytes)
+        ):
             self.closed_files = [file for file in self.closed_files if file.number != number]
             for path in (self._numbered(number), *(with_suffix(self._numbered(number), s) for s in SUFFIXES)):
                 path.unlink(missing_ok=True)
--- a/landingdeal/capture/source.py
+++ b/landingdeal/capture/source.py
@@ -12,12 +12,12 @@
 from typing import IO
 
 GZIP, ZSTD = b"\x1f\x8b", b"\x28\xb5\x2f\xfd"
-CHUNK = 256 * 1024
-WINDOW_MOST = 128 * 1024 * 1024  # of zstd: memory that a frame may ask for
+CHUNK_BYTES = 256 * 1024
+MAX_ZSTD_WINDOW_BYTES = 128 * 1024 * 1024  # of zstd: memory that a frame may ask for
 STDIN = "-"
 
 
-class Source:
+class ByteSource:
     """`read` gives exactly what is asked for until the bytes end; `offset` counts what was given."""
 
     def __init__(self, name: str, file: IO[bytes]) -> None:
@@ -52,7 +52,7 @@
         """Passes over that many bytes; how many there were."""
         left = size
         while left > 0:
-            got = len(self.read(min(left, CHUNK)))
+            got = len(self.read(min(left, CHUNK_BYTES)))
             if not got:
                 break
             left -= got
@@ -64,7 +64,7 @@
 
     def _plain(self, head: bytes) -> Iterator[bytes]:
         yield head
-        while data := self.file.read(CHUNK):
+        while data := self.file.read(CHUNK_BYTES):
             yield data
 
     def _gzip(self, head: bytes) -> Iterator[bytes]:
@@ -72,16 +72,16 @@
         inflate = zlib.decompressobj(wbits=31)
         try:
             while data:
-                made = inflate.decompress(data, CHUNK)
+                made = inflate.decompress(data, CHUNK_BYTES)
                 while made:
                     yield made
-                    made = inflate.decompress(inflate.unconsumed_tail, CHUNK)
+                    made = inflate.decompress(inflate.unconsumed_tail, CHUNK_BYTES)
                 if inflate.eof:  # another member may follow
-                    data = inflate.unused_data or self.file.read(CHUNK)
+                    data = inflate.unused_data or self.file.read(CHUNK_BYTES)
                     if data:
                         inflate = zlib.decompressobj(wbits=31)
                     continue
-                data = self.file.read(CHUNK)
+                data = self.file.read(CHUNK_BYTES)
             if not inflate.eof:
                 self.damage = "the gzip data ends early"
         except zlib.error as error:
@@ -91,7 +91,7 @@
         import zstandard
 
         data: bytes = head
-        made = zstandard.ZstdDecompressor(max_window_size=WINDOW_MOST)
+        made = zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW_BYTES)
         inflate = made.decompressobj()
         try:
             while data:
@@ -105,13 +105,13 @@
                         piece = inflate.unused_data if inflate.eof else b""
                         if inflate.eof:
                             inflate = made.decompressobj()
-                data = self.file.read(CHUNK)
+                data = self.file.read(CHUNK_BYTES)
         except zstandard.ZstdError as error:
             self.damage = f"the zstd data is damaged: {error}"
 
 
-def open_source(path: str) -> Source:
+def open_source(path: str) -> ByteSource:
     """Raises OSError."""
     if path == STDIN:
-        return Source(STDIN, sys.stdin.buffer)
-    return Source(path, Path(path).open("rb"))  # noqa: SIM115 (closed by `close`)
+        return ByteSource(STDIN, sys.stdin.buffer)
+    return ByteSource(path, Path(path).open("rb"))  # noqa: SIM115 (closed by `close`)
--- a/landingdeal/capture/views.py
+++ b/landingdeal/capture/views.py
@@ -28,9 +28,10 @@
         "class": call.class_name, "transport": call.transport, "source": where(call.source),
         "target": where(call.target), "start_s": round(call.start_ns / 1e9, 6), "outcome": call.outcome.value,
         "status": call.status, "answer_ms": round(call.answer_ms, 3), "hold_ms": round(call.hold_ms, 3),
-        "ended_by": call.bye_by.value if call.bye_by else "", "cause": call.cause, "later_ms": call.later_ms,
-        "retransmissions": call.retransmissions, "reinvites": len(call.reinvites),
-        "first_try": call.first_try, "begun_before": call.begun_before, "cut_off": call.cut_off,
+        "ended_by": call.released_by.value if call.released_by else "", "cause": call.cause,
+        "later_ms": call.retry_after_ms, "retransmissions": call.retransmissions,
+        "reinvites": len(call.reinvites), "first_try": call.first_try,
+        "begun_before": call.started_before_capture, "cut_off": call.cut_off,
     }  # fmt: skip
 
 
@@ -43,7 +44,7 @@
             notes.append(f"tries {call.first_try} again")
         if call.retransmissions:
             notes.append(f"{call.retransmissions} repeats")
-        if call.begun_before:
+        if call.started_before_capture:
             notes.append("begun before")
         if call.cut_off:
             notes.append("cut off")
@@ -61,14 +62,14 @@
 def ladder_of(call: CallRecord) -> Iterator[str]:
     """The messages of a call between the parties' lines, in order of time, as RFC 3665 draws them."""
     parties: list[Address] = []
-    for step in call.steps:
+    for step in call.ladder:
         for end in (step.source, step.target):
             if end not in parties:
                 parties.append(end)
     yield f"call {call.number}  {call.call_id}  {call.caller} to {call.called}  {call.outcome.value}"
     yield " " * 11 + "".join(f"{where(end):^{WIDTH}}" for end in parties).rstrip()
     middle = WIDTH // 2
-    for step in call.steps:
+    for step in call.ladder:
         line = list(" " * (WIDTH * len(parties)))
         for n in range(len(parties)):
             line[n * WIDTH + middle] = "|"
@@ -76,9 +77,9 @@
         if low != high:
             left, right = low * WIDTH + middle + 1, high * WIDTH + middle
             to_right = parties.index(step.source) == low
-            text = f" {step.what} "[: right - left - 3]
+            text = f" {step.label} "[: right - left - 3]
             span = list(text.center(right - left, "-"))
             span[-1 if to_right else 0] = ">" if to_right else "<"
             line[left:right] = span
-        at = (step.time_ns - call.steps[0].time_ns) / 1e6
+        at = (step.time_ns - call.ladder[0].time_ns) / 1e6
         yield f"{at:10.3f} " + "".join(line).rstrip()
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -43,7 +43,7 @@
     """What `check --json` prints."""
     problems = [
         {"kind": p.kind.value, "offset": p.offset, "packet": p.packet, "detail": p.detail, "file": p.file}
-        for p in reading.problems.kept
+        for p in reading.problems.listed
     ]
     return {
         "packets": reading.counts["packets"], "messages": reading.counts["messages"], "calls": calls,
@@ -72,9 +72,9 @@
     if as_json:
         click.echo(json.dumps(told(reading, calls)))
     else:
-        for problem in reading.problems.kept:
+        for problem in reading.problems.listed:
             click.echo(problem.line())
-        left = len(reading.problems) - len(reading.problems.kept)
+        left = len(reading.problems) - len(reading.problems.listed)
         if left:
             click.echo(f"{left} more problems")
         click.echo(
@@ -98,7 +98,7 @@
         outcomes[call.outcome.value] += 1
         classes[call.class_name or "-"] += 1
         again += bool(call.first_try)
-        marked += call.begun_before or call.cut_off
+        marked += call.started_before_capture or call.cut_off
     seconds = (reading.last_ns - reading.first_ns) / 1e9
     rows: dict[str, Any] = {
         "first": datetime.fromtimestamp(reading.first_ns / 1e9, UTC).isoformat(timespec="milliseconds"),
--- a/landingdeal/commands/capture_files.py
+++ b/landingdeal/commands/capture_files.py
@@ -53,7 +53,7 @@
     spans: dict[str, list[tuple[int, int]]] = {}
     for call in calls_of((str(file),), reading, False):
         if test(call):
-            last = max([call.start_ns, call.over_ns, *(step.time_ns for step in call.steps)])
+            last = max([call.start_ns, call.bye_response_ns, *(step.time_ns for step in call.ladder)])
             spans.setdefault(call.call_id, []).append((call.start_ns, last))
 
     def kept() -> Iterator[CapturedMessage]:
@@ -105,8 +105,8 @@
         done = cut(file, out)
     except NotACapture as error:
         raise click.ClickException(f"{file}: {error}") from None
-    what = f"cut {done.cut} bytes: {done.why}" if done.why else "nothing to cut"
-    click.echo(f"{out}: {done.packets} packets, {done.kept} bytes; {what}")
+    what = f"cut {done.removed_bytes} bytes: {done.reason}" if done.reason else "nothing to cut"
+    click.echo(f"{out}: {done.packet_count} packets, {done.kept_bytes} bytes; {what}")
 
 
 @capture.command()
--- a/landingdeal/sip/capture.py
+++ b/landingdeal/sip/capture.py
@@ -42,7 +42,7 @@
         self.messages = read_messages(paths, self.reading)
         self.first = next(self.messages, None)
         if self.first is None:
-            kept = self.reading.problems.kept
+            kept = self.reading.problems.listed
             raise ConfigError(f"nothing to play: {kept[0].line() if kept else 'no message in it'}")
 
     def play(self, on_received: Callable[[Received], None]) -> None:
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -28,7 +28,7 @@
 def sample(tmp_path: Path) -> Path:
     path = tmp_path / "sample.pcapng"
     path.write_bytes(
-        encode_capture(to_packets(generate_traffic(Traffic(calls=20, transport="TCP"))), PcapngEncoder())
+        encode_capture(to_packets(generate_traffic(Traffic(call_count=20, transport="TCP"))), PcapngEncoder())
     )
     return path
 
@@ -106,7 +106,9 @@
 def test_the_round_trip_through_the_program(transport: str, tmp_path: Path) -> None:
     """Offered, written by the front, read back: the same calls with the same final answers."""
     source, ours = tmp_path / "in.pcap", tmp_path / "ours.pcapng"
-    shape = Traffic(30, 40.0, transport=transport, refused=0.0, withdrawn=0.0, hold_ms=(50.0, 200.0))
+    shape = Traffic(
+        30, 40.0, transport=transport, refused_share=0.0, cancelled_share=0.0, hold_ms=(50.0, 200.0)
+    )
     source.write_bytes(encode_capture(to_packets(generate_traffic(shape)), PcapEncoder()))
     hubs = [Answerer(Behaviour(ring_ms=2.0, answer_ms=10.0)) for _ in range(2)]
     planned = plan(calls_in(source), Shape(linger_ms=0.0), Left({}))
@@ -126,7 +128,7 @@
     by_called = sorted((call.called, call.status, call.class_name) for call in callers)
     assert by_called == sorted((call.called, call.status, call.class_name) for call in calls_in(source))
     legs = [call for call in found if call not in callers]
-    assert all(call.status == 200 and call.over_ns >= 0 for call in legs)
+    assert all(call.status == 200 and call.bye_response_ns >= 0 for call in legs)
 
 
 def test_the_demonstration_ends_well() -> None:
--- a/tests/test_capture_reading.py
+++ b/tests/test_capture_reading.py
@@ -26,38 +26,44 @@
     PacketBuilder,
     PcapEncoder,
     PcapngEncoder,
-    frames,
+    ethernet_frames,
     ip_packet,
-    segment,
+    tcp_packet,
 )
-from landingdeal.capture.encode import datagram as datagram_of
-from landingdeal.capture.formats import RECORD_MOST, NotACapture, records
-from landingdeal.capture.fragments import Fragments
+from landingdeal.capture.encode import udp_packet as datagram_of
+from landingdeal.capture.formats import MAX_PACKET_BYTES, NotACapture, read_packets
+from landingdeal.capture.fragments import FragmentReassembler
 from landingdeal.capture.layers import (
-    COOKED,
-    COOKED2,
-    ETHERNET,
-    IPV4,
-    LOOP,
-    NULL,
-    RAW,
-    UDP,
-    Datagram,
-    Ip,
-    Segment,
-    Sum,
-    ip_of,
-    ones_sum,
+    IPPROTO_UDP,
+    LINKTYPE_ETHERNET,
+    LINKTYPE_IPV4,
+    LINKTYPE_LINUX_SLL,
+    LINKTYPE_LINUX_SLL2,
+    LINKTYPE_LOOP,
+    LINKTYPE_NULL,
+    LINKTYPE_RAW,
+    ChecksumStatus,
+    IpPacket,
+    TcpSegment,
+    UdpDatagram,
+    decode_frame,
+    decode_transport,
+    ones_complement_sum,
     pseudo_header,
-    transport_of,
 )
 from landingdeal.capture.messages import CapturedMessage, MessageExtractor
 from landingdeal.capture.problems import ProblemKind, Problems
-from landingdeal.capture.reader import ReadReport, _ordered, read_messages
+from landingdeal.capture.reader import ReadReport, _sorted_by_time, read_messages
 from landingdeal.capture.sample import START_NS, TrafficProfile, encode_capture, generate_traffic, to_packets
 from landingdeal.capture.sample import call_messages as sample_call
-from landingdeal.capture.source import Source
-from landingdeal.capture.streams import GRACE_NS, Bytes, Conflict, Ended, Streams
+from landingdeal.capture.source import ByteSource
+from landingdeal.capture.streams import (
+    ACKED_GAP_TIMEOUT_NS,
+    OverlapConflict,
+    StreamData,
+    StreamEnded,
+    TcpReassembler,
+)
 from landingdeal.sip.message import encode, request
 
 A, B = ("10.0.0.1", 5060), ("10.0.0.2", 5070)
@@ -78,11 +84,11 @@
 
     def __init__(self, data: bytes, strict: bool = False) -> None:
         self.problems = Problems()
-        source = Source("file", io.BytesIO(data))
+        source = ByteSource("file", io.BytesIO(data))
         self.messages = MessageExtractor(self.problems, "file", strict)
         self.seen: list[CapturedMessage] = []
         try:
-            self.seen += _ordered(self.messages.run(records(source, self.problems)))
+            self.seen += _sorted_by_time(self.messages.run(read_packets(source, self.problems)))
         except NotACapture:
             self.seen, self.not_a_capture = [], True
         self.kinds = set(self.problems.counts)
@@ -94,7 +100,9 @@
         return [seen.message.call_id for seen in self.seen]
 
 
-def pcap(made: Iterable[bytes], link: int = ETHERNET, order: str = "<", magic: int = 0xA1B2C3D4) -> bytes:
+def pcap(
+    made: Iterable[bytes], link: int = LINKTYPE_ETHERNET, order: str = "<", magic: int = 0xA1B2C3D4
+) -> bytes:
     out = struct.pack(order + "IHHiIII", magic, 2, 4, 0, 0, 65535, link)
     for number, data in enumerate(made):
         out += struct.pack(order + "IIII", 7 + number, 250, len(data), len(data)) + data
@@ -107,7 +115,7 @@
 @pytest.mark.parametrize("order", "<>")
 @pytest.mark.parametrize(("magic", "unit"), [(0xA1B2C3D4, 1000), (0xA1B23C4D, 1)])
 def test_classic_pcap_in_both_orders_and_units(order: str, magic: int, unit: int) -> None:
-    got = Read(pcap(frames(datagram_of(A, B, message()), 1), order=order, magic=magic))
+    got = Read(pcap(ethernet_frames(datagram_of(A, B, message()), 1), order=order, magic=magic))
     assert got.ids() == ["1"] and got.seen[0].time_ns == 7 * 10**9 + 250 * unit and not got.kinds
     assert (got.seen[0].source, got.seen[0].target, got.seen[0].transport) == (A, B, "UDP")
 
@@ -122,7 +130,7 @@
     return block(order, 0x0A0D0D0A, struct.pack(order + "IHHq", 0x1A2B3C4D, 1, 0, -1))
 
 
-def interface(order: str, *options: tuple[int, bytes], link: int = ETHERNET, snap: int = 0) -> bytes:
+def interface(order: str, *options: tuple[int, bytes], link: int = LINKTYPE_ETHERNET, snap: int = 0) -> bytes:
     told = b"".join(struct.pack(order + "HH", c, len(v)) + v + bytes(-len(v) % 4) for c, v in options)
     return block(order, 1, struct.pack(order + "HHI", link, 0, snap) + told)
 
@@ -139,12 +147,12 @@
     data = (
         section(order)
         + interface(order, (9, b"\x03"), (14, struct.pack(order + "q", 100)))  # milliseconds, 100 s later
-        + interface(order, (9, b"\x8a"), link=RAW)  # 1/1024 s
+        + interface(order, (9, b"\x8a"), link=LINKTYPE_RAW)  # 1/1024 s
         + block(order, 0xBAD, b"unknown")
-        + enhanced(order, 0, 5000, frames(datagram_of(A, B, message(1)), 1)[0])
+        + enhanced(order, 0, 5000, ethernet_frames(datagram_of(A, B, message(1)), 1)[0])
         + enhanced(order, 1, 2048 * 100, ip)
         + section(other)
-        + interface(other, link=RAW, snap=len(ip))
+        + interface(other, link=LINKTYPE_RAW, snap=len(ip))
         + block(other, 3, struct.pack(other + "I", len(ip)) + ip)
         + block(other, 2, struct.pack(other + "HHIIII", 0, 0, 0, 3000000, len(ip), len(ip)) + ip)
     )
@@ -167,21 +175,21 @@
     ],
 )
 def test_a_bad_block_costs_itself_alone(bad: bytes, kind: ProblemKind | None) -> None:
-    good = enhanced("<", 0, 0, frames(datagram_of(A, B, message()), 1)[0])
+    good = enhanced("<", 0, 0, ethernet_frames(datagram_of(A, B, message()), 1)[0])
     got = Read(section("<") + interface("<") + bad + good)
     assert got.ids() == ["1"] and got.kinds == ({kind} if kind else set())
 
 
 def test_two_lengths_that_differ_are_told_and_read_over() -> None:
-    good = enhanced("<", 0, 0, frames(datagram_of(A, B, message()), 1)[0])
+    good = enhanced("<", 0, 0, ethernet_frames(datagram_of(A, B, message()), 1)[0])
     got = Read(section("<") + interface("<") + good[:-4] + b"\0\0\0\0" + good)
     assert got.ids() == ["1", "1"] and got.kinds == {ProblemKind.BAD_RECORD}
 
 
 def test_lengths_that_can_not_be() -> None:
-    whole = pcap(frames(datagram_of(A, B, message()), 1))
+    whole = pcap(ethernet_frames(datagram_of(A, B, message()), 1))
     for kept, length, kinds, ids in (
-        (RECORD_MOST + 1, 100, {ProblemKind.BAD_RECORD}, []),
+        (MAX_PACKET_BYTES + 1, 100, {ProblemKind.BAD_RECORD}, []),
         (None, 5, {ProblemKind.BAD_RECORD}, ["1"]),
         (None, 9000, {ProblemKind.TRUNCATED_PACKET}, ["1"]),
     ):
@@ -189,7 +197,7 @@
         data = whole[:24] + struct.pack("<IIII", 7, 0, kept or real, length) + whole[40:]
         got = Read(data)
         assert got.kinds == kinds and got.ids() == ids
-        assert got.problems.kept[0].offset == 24 and got.problems.kept[0].packet == 1
+        assert got.problems.listed[0].offset == 24 and got.problems.listed[0].packet == 1
 
 
 @pytest.mark.parametrize(
@@ -200,7 +208,7 @@
     (tmp_path / "x").write_bytes(data)
     reading = ReadReport()
     assert not list(read_messages([str(tmp_path / "x")], reading))
-    assert [problem.kind for problem in reading.problems.kept] == [ProblemKind.NOT_A_CAPTURE]
+    assert [problem.kind for problem in reading.problems.listed] == [ProblemKind.NOT_A_CAPTURE]
     assert not reading.complete
 
 
@@ -210,7 +218,7 @@
     form: PcapEncoder, squeeze: object, tmp_path: Path
 ) -> None:
     assert callable(squeeze)
-    made = to_packets(generate_traffic(TrafficProfile(calls=12)))
+    made = to_packets(generate_traffic(TrafficProfile(call_count=12)))
     names = []
     for part in range(3):
         names.append(str(tmp_path / f"{part}"))
@@ -225,7 +233,7 @@
 @pytest.mark.parametrize("squeeze", [gzip.compress, zstandard.compress])
 def test_damaged_compression_gives_what_came_before(squeeze: object) -> None:
     assert callable(squeeze)
-    raw = encode_capture(to_packets(generate_traffic(TrafficProfile(calls=300))), PcapEncoder())
+    raw = encode_capture(to_packets(generate_traffic(TrafficProfile(call_count=300))), PcapEncoder())
     data = squeeze(raw)
     for cut in (data[: len(data) // 2], data[: len(data) // 2] + b"\xff" * 50):
         got = Read(cut)
@@ -239,12 +247,16 @@
 def link_frame(link: int, ip: bytes, v6: bool) -> bytes:
     kind = struct.pack(">H", 0x86DD if v6 else 0x0800)
     return {
-        ETHERNET: bytes(12) + kind, COOKED: bytes(14) + kind, COOKED2: kind + bytes(18),
-        NULL: b"\x02\0\0\0", LOOP: b"\0\0\0\x02", RAW: b"", IPV4: b"",
+        LINKTYPE_ETHERNET: bytes(12) + kind, LINKTYPE_LINUX_SLL: bytes(14) + kind,
+        LINKTYPE_LINUX_SLL2: kind + bytes(18),
+        LINKTYPE_NULL: b"\x02\0\0\0", LINKTYPE_LOOP: b"\0\0\0\x02", LINKTYPE_RAW: b"", LINKTYPE_IPV4: b"",
     }[link] + ip  # fmt: skip
 
 
-@pytest.mark.parametrize("link", [ETHERNET, COOKED, COOKED2, NULL, LOOP, RAW])
+@pytest.mark.parametrize(
+    "link",
+    [LINKTYPE_ETHERNET, LINKTYPE_LINUX_SLL, LINKTYPE_LINUX_SLL2, LINKTYPE_NULL, LINKTYPE_LOOP, LINKTYPE_RAW],
+)
 @pytest.mark.parametrize("ends", [(A, B), (A6, B6)], ids=["v4", "v6"])
 def test_every_link_type(link: int, ends: tuple[tuple[str, int], tuple[str, int]]) -> None:
     ip = ip_packet(datagram_of(*ends, message()))
@@ -264,26 +276,28 @@
 def test_an_atomic_fragment_is_whole() -> None:
     plain = datagram_of(A6, B6, message())
     ip = struct.pack(">IHBB", 6 << 28, 8 + len(plain.payload), 44, 64) + ip_packet(plain)[8:40]
-    assert Read(pcap([ip + bytes([17, 0, 0, 0, 0, 0, 0, 9]) + plain.payload], RAW)).ids() == ["1"]
+    assert Read(pcap([ip + bytes([17, 0, 0, 0, 0, 0, 0, 9]) + plain.payload], LINKTYPE_RAW)).ids() == ["1"]
 
 
 @pytest.mark.parametrize("of", [(A, B), (A6, B6)], ids=["v4", "v6"])
 def test_checksums_are_told_apart(of: tuple[tuple[str, int], tuple[str, int]]) -> None:
-    for ip, at in ((datagram_of(*of, message()), 6), (segment(*of, 5, 0, PSH, message()), 16)):
+    for ip, at in ((datagram_of(*of, message()), 6), (tcp_packet(*of, 5, 0, PSH, message()), 16)):
 
-        def with_sum(value: int, ip: Ip = ip, at: int = at) -> Datagram | Segment:
+        def with_sum(value: int, ip: IpPacket = ip, at: int = at) -> UdpDatagram | TcpSegment:
             data = ip.payload[:at] + struct.pack(">H", value) + ip.payload[at + 2 :]
-            return transport_of(Ip(ip.version, ip.source, ip.target, ip.protocol, data))
+            return decode_transport(IpPacket(ip.version, ip.source, ip.target, ip.protocol, data))
 
         good = struct.unpack_from(">H", ip.payload, at)[0]
-        assert with_sum(good).sum is Sum.GOOD
-        assert with_sum(good ^ 0x1234).sum is Sum.WRONG
-        assert with_sum(0).sum is Sum.ABSENT
-        assert with_sum(ones_sum(pseudo_header(ip, len(ip.payload)))).sum is Sum.OFFLOADED
+        assert with_sum(good).sum is ChecksumStatus.GOOD
+        assert with_sum(good ^ 0x1234).sum is ChecksumStatus.WRONG
+        assert with_sum(0).sum is ChecksumStatus.ABSENT
+        assert (
+            with_sum(ones_complement_sum(pseudo_header(ip, len(ip.payload)))).sum is ChecksumStatus.OFFLOADED
+        )
 
 
 def test_wrong_checksums_are_counted_and_dropped_where_asked() -> None:
-    frame = bytearray(frames(datagram_of(A, B, message()), 1)[0])
+    frame = bytearray(ethernet_frames(datagram_of(A, B, message()), 1)[0])
     frame[14 + 20 + 6] ^= 0x55
     loose, strict = Read(pcap([bytes(frame)])), Read(pcap([bytes(frame)]), strict=True)
     assert (
@@ -297,12 +311,15 @@
 Ends = tuple[tuple[str, int], tuple[str, int]]
 
 
-def parts_of(size: int = 4000, ends: Ends = (A, B), ident: int = 7) -> list[Ip]:
-    return [ip_of(ETHERNET, frame) for frame in frames(datagram_of(*ends, message(1, size)), ident)]
+def parts_of(size: int = 4000, ends: Ends = (A, B), ident: int = 7) -> list[IpPacket]:
+    return [
+        decode_frame(LINKTYPE_ETHERNET, frame)
+        for frame in ethernet_frames(datagram_of(*ends, message(1, size)), ident)
+    ]
 
 
-def together(parts: Iterable[Ip], fragments: Fragments | None = None) -> list[Ip]:
-    made = fragments or Fragments()
+def together(parts: Iterable[IpPacket], fragments: FragmentReassembler | None = None) -> list[IpPacket]:
+    made = fragments or FragmentReassembler()
     whole = [made.feed(part, n * MS, (n, n + 1)) for n, part in enumerate(parts)]
     made.end()
     return [one for one in whole if one is not None]
@@ -316,19 +333,19 @@
     parts = parts_of(ends=ends)
     order = data.draw(st.permutations(parts + data.draw(st.lists(st.sampled_from(parts), max_size=5))))
     (whole,) = together(order)
-    made = transport_of(whole)
-    assert made.payload == message(1, 4000) and made.sum is Sum.GOOD and not whole.fragment
+    made = decode_transport(whole)
+    assert made.payload == message(1, 4000) and made.sum is ChecksumStatus.GOOD and not whole.fragment
 
 
 def test_a_fragmented_datagram_has_the_time_of_its_last_needed_fragment() -> None:
-    made = frames(datagram_of(A, B, message(1, 4000)), 7)
+    made = ethernet_frames(datagram_of(A, B, message(1, 4000)), 7)
     got = Read(
         encode_capture([(START_NS + n * MS, f) for n, f in enumerate([*made, made[0]])], PcapEncoder())
     )
     assert [seen.time_ns - START_NS for seen in got.seen] == [2 * MS] and not got.kinds
 
 
-def changed(part: Ip, at: int, payload: bytes, more: bool = True) -> Ip:
+def changed(part: IpPacket, at: int, payload: bytes, more: bool = True) -> IpPacket:
     return replace(part, payload=payload, at=at, more=more)
 
 
@@ -342,7 +359,7 @@
         changed(second, 65528, b"y" * 16),  # beyond what an IP packet can hold
         changed(second, second.at, second.payload[:-3]),  # not the last one, and no multiple of 8
     ):
-        fragments = Fragments()
+        fragments = FragmentReassembler()
         assert not together([parts[0], second, bad, *parts[2:], second], fragments)
         assert [lost.overlap for lost in fragments.lost] == [True]
     # the same bytes cut otherwise: IPv4 may be cut twice on its way, RFC 5722 refuses it for IPv6
@@ -351,19 +368,19 @@
 
 
 def test_fragments_over_a_tcp_header_are_refused() -> None:
-    whole = segment(A, B, 1, 0, SYN, b"x" * 64)
+    whole = tcp_packet(A, B, 1, 0, SYN, b"x" * 64)
     tiny = [changed(whole, 0, whole.payload[:8]), changed(whole, 8, whole.payload[8:], False)]
     for parts in (tiny, tiny[::-1]):
-        fragments = Fragments()
+        fragments = FragmentReassembler()
         assert not together(parts, fragments) and fragments.lost[0].overlap
 
 
 def test_missing_fragments_time_out_by_the_clock_of_the_capture_and_bytes_are_bounded() -> None:
-    fragments = Fragments(bytes_most=20_000)
+    fragments = FragmentReassembler(bytes_most=20_000)
     first, *rest = parts_of()
     assert fragments.feed(first, 0, (1, 1)) is None
     assert fragments.feed(parts_of(ident=8)[0], 31 * 10**9, (2, 2)) is None
-    assert [(lost.overlap, lost.place) for lost in fragments.lost] == [(False, (1, 1))]
+    assert [(lost.overlap, lost.position) for lost in fragments.lost] == [(False, (1, 1))]
     for part in rest:  # what comes later begins anew, and is not whole
         assert fragments.feed(part, 32 * 10**9, (3, 3)) is None
     for ident in range(100, 200):
@@ -376,22 +393,22 @@
 # --- streams ---
 
 
-def seg(data: bytes, seq: int, ack: int = -1, flags: int = 0, ends: Ends = (A, B)) -> Segment:
+def seg(data: bytes, seq: int, ack: int = -1, flags: int = 0, ends: Ends = (A, B)) -> TcpSegment:
     flags |= ACK if ack >= 0 else 0
-    made = transport_of(segment(*ends, seq % 2**32, max(ack, 0) % 2**32, flags, data))
-    assert isinstance(made, Segment)
+    made = decode_transport(tcp_packet(*ends, seq % 2**32, max(ack, 0) % 2**32, flags, data))
+    assert isinstance(made, TcpSegment)
     return made
 
 
-def played(*segments: tuple[float, Segment]) -> tuple[bytes, list[object]]:
+def played(*segments: tuple[float, TcpSegment]) -> tuple[bytes, list[object]]:
     """The bytes of A's direction, and what else was told of it."""
-    streams, data, other = Streams(), b"", list[object]()
+    streams, data, other = TcpReassembler(), b"", list[object]()
     events = [e for at, one in segments for e in streams.feed(one, int(at * MS), (0, 1))]
     for ends, event in events + streams.end((0, 1)):
         if ends == (A, B):
-            if isinstance(event, Bytes):
+            if isinstance(event, StreamData):
                 data += event.data
-            if not isinstance(event, Bytes) or event.gap:
+            if not isinstance(event, StreamData) or event.gap:
                 other.append(event)
     return data, other
 
@@ -408,7 +425,7 @@
     made = [(0.0, seg(b"", isn, flags=SYN))]
     made += [(1.0 + n, seg(text[low:high], isn + 1 + low)) for n, (low, high) in enumerate(order)]
     got, other = played(*made)
-    assert got == text and all(isinstance(event, Ended) for event in other)
+    assert got == text and all(isinstance(event, StreamEnded) for event in other)
 
 
 def test_a_lost_segment_is_given_up_once_acknowledged_and_not_before() -> None:
@@ -419,23 +436,23 @@
     acked = (4.0, seg(b"", 1, ack=21, ends=back))
     # the acknowledgement alone may lie before the segment in the file
     assert played(*first, acked, (5.0, late))[0] == b"onetwothree"
-    data, other = played(*first, acked, (6.0 + GRACE_NS / MS, seg(b"four", 21)))
-    assert data == b"onethreefour" and isinstance(other[0], Bytes) and other[0].gap == 3
+    data, other = played(*first, acked, (6.0 + ACKED_GAP_TIMEOUT_NS / MS, seg(b"four", 21)))
+    assert data == b"onethreefour" and isinstance(other[0], StreamData) and other[0].gap == 3
 
 
 def test_a_full_window_gives_up_what_is_missing() -> None:
     made = [(0.0, seg(b"", 9, flags=SYN))]
     made += [(1.0, seg(b"x", 11 + n)) for n in range(400)]
     data, other = played(*made)
-    assert data == b"x" * 400 and isinstance(other[0], Bytes) and other[0].gap == 1
+    assert data == b"x" * 400 and isinstance(other[0], StreamData) and other[0].gap == 1
 
 
 def test_bytes_that_come_twice_and_differ_are_told_and_the_first_are_kept() -> None:
     start = (0.0, seg(b"", 9, flags=SYN))
     data, other = played(start, (1.0, seg(b"abcdef", 10)), (2.0, seg(b"abXXefgh", 10)))
-    assert data == b"abcdefgh" and isinstance(other[0], Conflict) and other[0].at == 0
+    assert data == b"abcdefgh" and isinstance(other[0], OverlapConflict) and other[0].at == 0
     data, other = played(start, (1.0, seg(b"abcdef", 10)), (2.0, seg(b"abcdefgh", 10)))
-    assert data == b"abcdefgh" and not [event for event in other if isinstance(event, Conflict)]
+    assert data == b"abcdefgh" and not [event for event in other if isinstance(event, OverlapConflict)]
 
 
 def test_a_pair_of_ports_used_again_is_another_connection() -> None:
@@ -444,26 +461,31 @@
         (3.0, seg(b"", 5000, flags=SYN)), (4.0, seg(b"new", 5001)), (5.0, seg(b"", 5004, flags=FIN)),
     )  # fmt: skip
     assert data == b"oldnew"
-    assert [e.how for e in other if isinstance(e, Ended)] == ["another connection", "FIN"]
+    assert [e.how for e in other if isinstance(e, StreamEnded)] == ["another connection", "FIN"]
 
 
 def test_reset_ends_a_connection_and_what_was_held_is_given() -> None:
     data, other = played((0.0, seg(b"", 9, flags=SYN)), (1.0, seg(b"b", 11)), (2.0, seg(b"", 12, flags=RST)))
-    assert data == b"b" and [e.how for e in other if isinstance(e, Ended)] == ["RST"]
+    assert data == b"b" and [e.how for e in other if isinstance(e, StreamEnded)] == ["RST"]
 
 
 def test_a_connection_open_before_the_capture_is_taken_up_at_the_next_start_line() -> None:
     text = message(1, 30)[-20:] + message(2) + b"\r\n\r\n" + message(3)
     made = []
     for n, at in enumerate(range(0, len(text), 50)):
-        made.append((START_NS + n * MS, frames(segment(A, B, 7000 + at, 0, PSH, text[at : at + 50]), 1)[0]))
+        made.append(
+            (
+                START_NS + n * MS,
+                ethernet_frames(tcp_packet(A, B, 7000 + at, 0, PSH, text[at : at + 50]), 1)[0],
+            )
+        )
     got = Read(encode_capture(made, PcapEncoder()))
     assert got.ids() == ["2", "3"] and not got.kinds
 
 
 def test_a_message_that_leads_nowhere_costs_itself_alone() -> None:
     bad = b"INVITE sip:x SIP/2.0\r\nContent-Length: x\r\n\r\n"
-    made = PacketBuilder().stream(A, B, message(1) + bad + message(2))
+    made = PacketBuilder().stream_frames(A, B, message(1) + bad + message(2))
     got = Read(encode_capture([(START_NS + n, f) for n, f in enumerate(made)], PcapEncoder()))
     assert got.ids() == ["1", "2"] and got.kinds == {ProblemKind.MALFORMED_MESSAGE}
 
@@ -472,24 +494,28 @@
 
 
 def test_calls_and_how_they_ended() -> None:
-    shape = TrafficProfile(calls=200, refused=0.2, withdrawn=0.2, transport="TCP")
+    shape = TrafficProfile(call_count=200, refused_share=0.2, cancelled_share=0.2, transport="TCP")
     got = Read(encode_capture(to_packets(generate_traffic(shape)), PcapngEncoder()))
     assert len(got.calls) == 200 and not got.kinds
     ends = [call.outcome for call in got.calls]
-    assert {Outcome.STOOD, Outcome.REFUSED, Outcome.WITHDRAWN} == set(ends)
+    assert {Outcome.ESTABLISHED, Outcome.REFUSED, Outcome.CANCELLED} == set(ends)
     for call in got.calls:
-        assert not call.begun_before and not call.cut_off and call.patience_ms == 9000.0
-        assert call.class_name in shape.classes and call.called[0] in "12"
-        assert (call.bye_by in tuple(Party)) is (call.outcome is Outcome.STOOD)
-        if call.outcome is Outcome.STOOD:
+        assert not call.started_before_capture and not call.cut_off and call.patience_ms == 9000.0
+        assert call.class_name in shape.class_names and call.called[0] in "12"
+        assert (call.released_by in tuple(Party)) is (call.outcome is Outcome.ESTABLISHED)
+        if call.outcome is Outcome.ESTABLISHED:
             assert 5 <= call.answer_ms <= 61 and 199 <= call.hold_ms <= 801 and call.cause == 16
-            assert call.provisional == 180 and call.ack_ns > call.answer_ns and call.over_ns > call.bye_ns
+            assert (
+                call.provisional_status == 180
+                and call.ack_ns > call.answer_ns
+                and call.bye_response_ns > call.bye_ns
+            )
         if call.outcome is Outcome.REFUSED:
-            assert call.status == 503 and call.later_ms == 2000.0
+            assert call.status == 503 and call.retry_after_ms == 2000.0
 
 
 def test_a_retry_is_linked_to_its_first_try() -> None:
-    shape, made = TrafficProfile(refused=1.0), []
+    shape, made = TrafficProfile(refused_share=1.0), []
     for n, at in enumerate((0, 3, 6, 500)):
         for sent in sample_call(5, START_NS + at * 10**9, shape, random.Random(9)):
             headers = tuple((k, f"{v}-{n}" if k == "call-id" else v) for k, v in sent.message.headers)
@@ -499,28 +525,34 @@
 
 
 def test_calls_cut_by_the_edges_of_the_capture_are_marked() -> None:
-    made = generate_traffic(TrafficProfile(calls=1, refused=0, withdrawn=0, called_ends=0))
+    made = generate_traffic(
+        TrafficProfile(call_count=1, refused_share=0, cancelled_share=0, called_release_share=0)
+    )
     got = Read(encode_capture(to_packets(made[4:]), PcapEncoder()))
-    assert len(got.calls) == 1 and got.calls[0].begun_before and got.calls[0].outcome is Outcome.UNANSWERED
+    assert (
+        len(got.calls) == 1
+        and got.calls[0].started_before_capture
+        and got.calls[0].outcome is Outcome.UNANSWERED
+    )
     got = Read(encode_capture(to_packets(made[:4]), PcapEncoder()))
-    assert got.calls[0].cut_off and not got.calls[0].begun_before and got.calls[0].status == 200
+    assert got.calls[0].cut_off and not got.calls[0].started_before_capture and got.calls[0].status == 200
 
 
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_shuffled_doubled_and_thinned_captures_invent_no_call(transport: str, seed: int) -> None:
-    shape = TrafficProfile(calls=60, transport=transport, padding=2000)
+    shape = TrafficProfile(call_count=60, transport=transport, padding_bytes=2000)
     made = to_packets(generate_traffic(shape, seed))
     whole = Read(encode_capture(made, PcapEncoder()))
     random_ = random.Random(seed)
     shuffled = sorted(made, key=lambda one: one[0] + random_.uniform(0, 50 * MS))
     got = Read(encode_capture(shuffled, PcapEncoder()))
-    known = {call.call_id: (call.outcome, call.status, call.bye_by) for call in whole.calls}
-    assert {call.call_id: (call.outcome, call.status, call.bye_by) for call in got.calls} == known
+    known = {call.call_id: (call.outcome, call.status, call.released_by) for call in whole.calls}
+    assert {call.call_id: (call.outcome, call.status, call.released_by) for call in got.calls} == known
     assert not got.kinds
     doubled = [one for one in shuffled for _ in range(2)]
     got = Read(encode_capture(doubled, PcapEncoder()))
-    assert {call.call_id: (call.outcome, call.status, call.bye_by) for call in got.calls} == known
+    assert {call.call_id: (call.outcome, call.status, call.released_by) for call in got.calls} == known
     assert not got.kinds
     thinned = [one for one in doubled if random_.random() >= 0.01][::2]
     got = Read(encode_capture(thinned, PcapEncoder()))
@@ -536,12 +568,12 @@
 @pytest.mark.parametrize("form", FORMS, ids=["ns", "us", "ng"])
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
 def test_a_file_cut_at_every_byte(form: PcapEncoder, transport: str) -> None:
-    made = to_packets(generate_traffic(TrafficProfile(calls=4, transport=transport)))[:40]
+    made = to_packets(generate_traffic(TrafficProfile(call_count=4, transport=transport)))[:40]
     whole = encode_capture(made, form)
     most = len(Read(whole).calls)
-    sizes = [len(form.head())]
+    sizes = [len(form.file_header())]
     for at, frame in made:
-        sizes.append(sizes[-1] + len(form.record(at, frame)))
+        sizes.append(sizes[-1] + len(form.packet_record(at, frame)))
     ends = set(sizes)
     for cut in range(0, len(whole), 1 if LONG else 9):
         got = Read(whole[:cut])
@@ -577,18 +609,18 @@
 @settings(max_examples=3400 if LONG else 40, deadline=None)
 @given(seed=st.integers(0, 2**32))
 def test_no_damage_raises_or_hangs(form: PcapEncoder, transport: str, seed: int) -> None:
-    shape = TrafficProfile(calls=5, transport=transport, padding=1600 if seed % 2 else 0)
+    shape = TrafficProfile(call_count=5, transport=transport, padding_bytes=1600 if seed % 2 else 0)
     whole = encode_capture(to_packets(generate_traffic(shape, 1)), form)
     got = Read(mangle(whole, random.Random(seed)))
     # a mangled Call-ID is another call's name for whoever looks on; what is whole is not made more
     known = {call.call_id for call in Read(whole).calls}
-    ours = [call for call in got.calls if call.call_id in known and not call.begun_before]
+    ours = [call for call in got.calls if call.call_id in known and not call.started_before_capture]
     assert len(ours) <= 2 * len(known)
 
 
 def test_datagrams_of_other_protocols_are_no_problem() -> None:
     made = [datagram_of(A, B, b"\x01\0\x5eDNS or so"), datagram_of(A, B, b"\r\n\r\n")]
-    made.append(Ip(4, "1.2.3.4", "1.2.3.5", 1, b"ping"))
-    got = Read(pcap([frame for ip in made for frame in frames(ip, 1)]))
+    made.append(IpPacket(4, "1.2.3.4", "1.2.3.5", 1, b"ping"))
+    got = Read(pcap([frame for ip in made for frame in ethernet_frames(ip, 1)]))
     assert not got.kinds and not got.seen and got.messages.counts["keep-alives"] == 1
-    assert UDP == 17
+    assert IPPROTO_UDP == 17
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -36,7 +36,9 @@
 from landingdeal.lab.ports import free_port
 from tests.scenario import PATIENCE_S, ROOT
 
-QUICK = Traffic(calls=25, per_s=60.0, answer_ms=(5.0, 20.0), hold_ms=(50.0, 120.0), withdrawn=0.0)
+QUICK = Traffic(
+    call_count=25, calls_per_s=60.0, answer_ms=(5.0, 20.0), hold_ms=(50.0, 120.0), cancelled_share=0.0
+)
 
 
 def calls_of(path: Path, shape: Traffic = QUICK, seed: int = 1) -> list[CallRecord]:
@@ -116,7 +118,7 @@
 
 def test_what_can_not_be_offered_is_counted(calls: list[CallRecord]) -> None:
     left = Left({})
-    changed = [replace(calls[0], begun_before=True), replace(calls[1], first_try=1), *calls[2:]]
+    changed = [replace(calls[0], started_before_capture=True), replace(calls[1], first_try=1), *calls[2:]]
     assert len(plan(changed, Shape(retries=Policy.NONE), left)) == 23
     assert left.reasons == {"begun before the capture": 1, "a try again": 1}
     assert len(plan(changed, Shape(), Left({}))) == 24
@@ -193,19 +195,19 @@
     seen = answerer.seen
     assert set(seen.invites.values()) == {1} and len(seen.invites) == len(seen.acks) == 25
     assert len(seen.byes) == told["outcomes"]["stood"] and set(seen.byes.values()) == {1}
-    by_class = {name: sum(call.class_name == name for call in calls) for name in QUICK.classes}
-    assert {name: list(seen.classes.values()).count(name) for name in QUICK.classes} == by_class
+    by_class = {name: sum(call.class_name == name for call in calls) for name in QUICK.class_names}
+    assert {name: list(seen.classes.values()).count(name) for name in QUICK.class_names} == by_class
 
 
 def test_the_other_side_ends_its_calls_and_withdrawn_ones_are_cancelled(tmp_path: Path) -> None:
-    shape = replace(QUICK, calls=10, withdrawn=0.3, refused=0.0, called_ends=1.0)
+    shape = replace(QUICK, call_count=10, cancelled_share=0.3, refused_share=0.0, called_release_share=1.0)
     calls = calls_of(tmp_path / "c", shape)
     answerer = Answerer(Behaviour(ring_ms=1.0, answer_ms=100.0, ends_after_ms=30.0))
     engine = offer(plan(calls, Shape(linger_ms=5000.0), Left({})), answerer.port)
     answerer.end()
     results = last_tries(engine.report)
     assert [r.outcome for r in results] == [r.offered.recorded_outcome for r in results]
-    stood = [r for r in results if r.outcome is Outcome.STOOD]
+    stood = [r for r in results if r.outcome is Outcome.ESTABLISHED]
     assert stood and {r.ended_by for r in stood} == {"them"} and not answerer.seen.byes
     assert len(answerer.seen.cancels) == len(results) - len(stood) > 0
 
@@ -306,7 +308,7 @@
 
 def test_a_killed_replay_goes_on_without_offering_a_call_twice(tmp_path: Path) -> None:
     capture, state = tmp_path / "c.pcap", tmp_path / "state"
-    calls_of(capture, replace(QUICK, calls=120))
+    calls_of(capture, replace(QUICK, call_count=120))
     answerer = Answerer(Behaviour(ring_ms=1.0))
     command = [sys.executable, "-m", "landingdeal", "capture", "replay", str(capture), "--to",
                f"127.0.0.1:{answerer.port}", "--state", str(state), "--json", "--t1-ms", "100"]  # fmt: skip
--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -17,7 +17,7 @@
 from landingdeal.capture.encode import PacketBuilder, PcapEncoder, PcapngEncoder
 from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.capture.repair import repair
-from landingdeal.capture.rotation import ClosedFile, RotationLimits, full, to_remove
+from landingdeal.capture.rotation import ClosedFile, RotationLimits, files_to_remove, needs_new_file
 from landingdeal.capture.sample import (
     START_NS,
     SampleMessage,
@@ -27,7 +27,7 @@
     to_packets,
 )
 from landingdeal.capture.settings import read_capture
-from landingdeal.capture.sink import WAITING_MOST, CaptureWriter, wait_written
+from landingdeal.capture.sink import MAX_QUEUED_MESSAGES, CaptureWriter, wait_written
 from landingdeal.clock import now_ms
 from landingdeal.errors import ConfigError
 from landingdeal.lab.ports import free_port
@@ -64,8 +64,8 @@
     sizes: list[int], total: int, open_size: int
 ) -> None:
     closed = [ClosedFile(n, size) for n, size in enumerate(sizes)]
-    bounds = RotationLimits(total_bytes=total)
-    gone = to_remove(bounds, closed, open_size)
+    bounds = RotationLimits(max_total_bytes=total)
+    gone = files_to_remove(bounds, closed, open_size)
     assert gone == list(range(len(gone)))
     left = open_size + sum(file.size for file in closed[len(gone) :])
     assert total == 0 and not gone or left <= total or len(gone) == len(closed)
@@ -74,16 +74,18 @@
 
 
 def test_a_file_is_full_by_size_or_by_time_and_never_before_its_first_record() -> None:
-    bounds = RotationLimits(file_bytes=100, file_ms=1000.0)
-    assert full(bounds, 90, 0.0, 0.0, 11) and not full(bounds, 90, 0.0, 0.0, 10)
-    assert full(bounds, 1, 0.0, 1000.0, 1) and not full(bounds, 0, 0.0, 9999.0, 999)
-    assert not full(RotationLimits(0, 0.0), 10**12, 0.0, 10**12, 1)
+    bounds = RotationLimits(max_file_bytes=100, max_file_ms=1000.0)
+    assert needs_new_file(bounds, 90, 0.0, 0.0, 11) and not needs_new_file(bounds, 90, 0.0, 0.0, 10)
+    assert needs_new_file(bounds, 1, 0.0, 1000.0, 1) and not needs_new_file(bounds, 0, 0.0, 9999.0, 999)
+    assert not needs_new_file(RotationLimits(0, 0.0), 10**12, 0.0, 10**12, 1)
 
 
 @pytest.mark.parametrize("compress", ["", "gzip", "zstd"])
 def test_a_sink_rotates_compresses_and_keeps_its_budget(compress: str, tmp_path: Path) -> None:
     path = tmp_path / "ours.pcapng"
-    sink = CaptureWriter(path, RotationLimits(file_bytes=40_000, file_ms=0.0, total_bytes=120_000), compress)
+    sink = CaptureWriter(
+        path, RotationLimits(max_file_bytes=40_000, max_file_ms=0.0, max_total_bytes=120_000), compress
+    )
     for number in range(400):
         sink.passed("UDP", A, B, options(number, 1000))
         if number % 20 == 0:
@@ -109,14 +111,14 @@
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
 def test_what_is_written_reads_as_the_same_calls(name: str, transport: str, tmp_path: Path) -> None:
     sink = CaptureWriter(tmp_path / name)
-    made = generate_traffic(TrafficProfile(calls=20, transport=transport, padding=3000))
+    made = generate_traffic(TrafficProfile(call_count=20, transport=transport, padding_bytes=3000))
     for sent in made:
         sink.passed(transport, sent.source, sent.target, sent.message)
     sink.closed(made[0].source, made[0].target, reset=True)
     sink.end(soon())
     found, reading = calls_in(tmp_path / name)
     assert reading.complete and reading.counts["messages"] == len(made) and len(found) == 20
-    assert {call.outcome for call in found} <= {Outcome.STOOD, Outcome.REFUSED, Outcome.WITHDRAWN}
+    assert {call.outcome for call in found} <= {Outcome.ESTABLISHED, Outcome.REFUSED, Outcome.CANCELLED}
 
 
 def test_comments_name_call_class_and_attempt(tmp_path: Path) -> None:
@@ -149,12 +151,12 @@
 
     sink.file = Disk(slow)  # type: ignore[assignment]
     began = time.monotonic()
-    for number in range(WAITING_MOST + 2000):
+    for number in range(MAX_QUEUED_MESSAGES + 2000):
         sink.passed("UDP", A, B, options(number))
     assert time.monotonic() - began < PATIENCE_S / 2 and sink.left_out >= 1000
     go.set()
     sink.end(soon())
-    assert sink.written + sink.left_out == WAITING_MOST + 2000
+    assert sink.written + sink.left_out == MAX_QUEUED_MESSAGES + 2000
 
 
 def test_a_full_disk_leaves_out_what_it_refuses_and_goes_on_when_there_is_room(tmp_path: Path) -> None:
@@ -192,17 +194,17 @@
 
 @pytest.mark.parametrize("form", [PcapEncoder(), PcapngEncoder()], ids=["pcap", "pcapng"])
 def test_a_damaged_tail_is_cut_off(form: PcapEncoder, tmp_path: Path) -> None:
-    made = to_packets(generate_traffic(TrafficProfile(calls=5)))
+    made = to_packets(generate_traffic(TrafficProfile(call_count=5)))
     whole = encode_capture(made, form)
     path, out = tmp_path / "in", tmp_path / "out"
     impossible = struct.pack("<IIII", 6, 2**31, 2**31, 2**31)
     for damaged in (whole[:-7], whole + b"\x01\x02\x03", whole + impossible):
         path.write_bytes(damaged)
         done = repair(path, out)
-        assert done.why and done.cut == len(damaged) - done.kept > 0
-        assert calls_in(out)[1].complete and done.packets in (len(made), len(made) - 1)
+        assert done.reason and done.removed_bytes == len(damaged) - done.kept_bytes > 0
+        assert calls_in(out)[1].complete and done.packet_count in (len(made), len(made) - 1)
         again = repair(out, tmp_path / "again")
-        assert not again.why and (tmp_path / "again").read_bytes() == out.read_bytes()
+        assert not again.reason and (tmp_path / "again").read_bytes() == out.read_bytes()
     path.write_bytes(gzip.compress(whole))
     with pytest.raises(ConfigError, match="unpack it first"):
         repair(path, out)
@@ -255,14 +257,14 @@
         found: list[CallRecord] = []
         while now_ms() < until:
             found = calls_in(tmp_path / "out.pcapng")[0]
-            if len(found) == 2 and all(call.over_ns >= 0 for call in found):
+            if len(found) == 2 and all(call.bye_response_ns >= 0 for call in found):
                 break
             time.sleep(0.05)
         ours = next(call for call in found if call.call_id == "recorded")
         hubs = next(call for call in found if call.call_id != "recorded")
-        assert ours.outcome is hubs.outcome is Outcome.STOOD
+        assert ours.outcome is hubs.outcome is Outcome.ESTABLISHED
         assert ours.source == caller and ours.transport == kind and hubs.transport == "UDP"
-        assert ours.bye_by == hubs.bye_by and ours.over_ns >= ours.bye_ns
+        assert ours.released_by == hubs.released_by and ours.bye_response_ns >= ours.bye_ns
         play(stage, "program stop\nprogram ends 0\n")
     finally:
         log = stage.end()
@@ -281,8 +283,8 @@
 
 
 def test_conversations_are_bounded_and_each_is_whole() -> None:
-    conversations = PacketBuilder()
+    builder = PacketBuilder()
     frames = []
-    for n in range(PacketBuilder.CONNECTIONS_MOST + 50):
-        frames += conversations.stream((f"10.{n >> 8}.0.{n & 255}", 5060), B, encode(options(n)))
-    assert len(conversations.connections) == PacketBuilder.CONNECTIONS_MOST
+    for n in range(PacketBuilder.MAX_CONNECTIONS + 50):
+        frames += builder.stream_frames((f"10.{n >> 8}.0.{n & 255}", 5060), B, encode(options(n)))
+    assert len(builder.connections) == PacketBuilder.MAX_CONNECTIONS
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -34,7 +34,7 @@
     path = tmp_path_factory.mktemp("capture") / "sample.pcapng"
     path.write_bytes(
         encode_capture(
-            to_packets(generate_traffic(TrafficProfile(calls=12, transport="TCP"))), PcapngEncoder()
+            to_packets(generate_traffic(TrafficProfile(call_count=12, transport="TCP"))), PcapngEncoder()
         )
     )
     return path
@@ -104,7 +104,7 @@
 
 
 def test_several_files_are_one_capture(sample: Path) -> None:
-    made = to_packets(generate_traffic(TrafficProfile(calls=10)))
+    made = to_packets(generate_traffic(TrafficProfile(call_count=10)))
     names = [sample.with_name(f"part{n}") for n in range(2)]
     for n, name in enumerate(names):
         name.write_bytes(encode_capture(made[n::2], PcapEncoder()))
