--- a/landingdeal/capture/__init__.py
+++ b/landingdeal/capture/__init__.py
@@ -1,1 +1,1 @@
-"""Traffic from captures: pcap and pcapng files read into calls, offered as load, and written."""
+"""Reads pcap and pcapng captures into SIP calls, replays them as load, and writes captures."""
--- a/landingdeal/capture/calls.py
+++ b/landingdeal/capture/calls.py
@@ -1,7 +1,8 @@
-"""From messages to calls: transactions and dialogs as somebody who looks on sees them (RFC 3261 12 and 17).
+"""Groups captured SIP messages into calls, by transaction and dialog (RFC 3261, sections 12 and 17).
 
-Decisions and state only, by the capture's clock. One record a call; retransmissions are one request. Calls
-that began before the capture or were cut off by its end are marked, and nothing is invented for them.
+No I/O; time is that of the captured packets. Each call gives one record; retransmissions count as one
+message. Calls that began before the capture or continue past its end are marked, and what was not captured
+is left at its default value.
 """
 
 from __future__ import annotations
@@ -17,75 +18,78 @@
 from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
 from landingdeal.sip.message import Message
 
-RETRANSMISSION_WINDOW_NS = 32 * 10**9  # after its end a call's retransmissions may still pass (64 times T1)
-IDLE_CALL_TIMEOUT_NS = 3600 * 10**9  # a call of which nothing passes any more is given out as it is
-MAX_TRACKED_CALLS = 200_000  # followed at once; the one idle longest is given out first
-RETRY_WINDOW_NS = (
-    60 * 10**9
-)  # so soon after a refusal a set-up by the same caller for the same number tries again
+RETRANSMISSION_WINDOW_NS = 32 * 10**9  # retransmissions may follow the end of a call for this long (64 * T1)
+IDLE_CALL_TIMEOUT_NS = 3600 * 10**9  # a call without messages for this long is reported as it is
+MAX_TRACKED_CALLS = 200_000  # above it the call idle longest is reported
+RETRY_WINDOW_NS = 60 * 10**9  # a set-up to the same number this soon after a refusal counts as a retry
 MAX_REFUSED_CALLS = 50_000
 
 
 class Party(StrEnum):
+    """A party of a call."""
+
     CALLER = "caller"
     CALLED = "called"
 
 
 class Outcome(StrEnum):
+    """The result of a set-up."""
+
     ESTABLISHED = "stood"
     REFUSED = "refused"
-    CANCELLED = "withdrawn"  # CANCEL, then 487
-    UNANSWERED = "unanswered"  # no final answer passed
+    CANCELLED = "withdrawn"  # CANCEL, then 487 or no final response
+    UNANSWERED = "unanswered"  # no final response was captured
 
 
 @dataclass(frozen=True, slots=True)
 class LadderMessage:
-    """One message of a call, for its ladder. `again`: how often it was repeated."""
+    """One message in the ladder diagram of a call."""
 
     time_ns: int
     source: Address
     target: Address
     label: str
     cseq: int
-    position: tuple[int, int]
+    position: tuple[int, int]  # offset in the file and packet number
 
 
 @dataclass(slots=True)
 class CallRecord:
-    """One call. Times in nanoseconds since 1970, -1 where nothing of the kind passed."""
+    """One call. Times are in nanoseconds since 1970, -1 if no such message was captured."""
 
-    number: int  # in the order of the first messages
+    number: int  # position in the order of first messages, from 1
     call_id: str
-    caller: str  # the From URI's user and host
-    called: str  # the Request-URI's user, else the whole URI
+    caller: str  # user@host of the From URI
+    called: str  # user part of the Request-URI, else the whole URI
     transport: str
-    source: Address  # where the first INVITE came from
+    source: Address  # sender of the first request
     target: Address
     class_name: str = ""
     patience_ms: float = 0.0
     organization: str = ""
     invite_ns: int = -1
     provisional_ns: int = -1
-    provisional_status: int = 0  # the first one over 100
+    provisional_status: int = 0  # first provisional status above 100
     answer_ns: int = -1
-    status: int = 0  # the final answer to the first INVITE
+    status: int = 0  # status of the final response to the first INVITE
     ack_ns: int = -1
     cancel_ns: int = -1
     bye_ns: int = -1
     released_by: Party | None = None
-    bye_response_ns: int = -1  # the answer to BYE
-    cause: int = 0  # of the Reason of a release (RFC 3326), else 0
-    retry_after_ms: float = 0.0  # time to stay away, where the refusal told one
+    bye_response_ns: int = -1  # final response to BYE
+    cause: int = 0  # from the Reason header of the BYE (RFC 3326), else 0
+    retry_after_ms: float = 0.0  # X-Later-Ms or Retry-After of the final response, else 0
     retransmissions: int = 0
-    reinvites: list[int] = field(default_factory=list)  # when each passed
-    first_try: int = 0  # the number of the call that this one tries again; 0 where it is a first try
+    reinvites: list[int] = field(default_factory=list)  # times of re-INVITEs
+    first_try: int = 0  # number of the call that was tried first; 0 if this is no retry
     started_before_capture: bool = False
-    cut_off: bool = False  # the capture ended before the call did
+    cut_off: bool = False  # reported before the end of the call was seen
     invite: Message | None = None
     ladder: list[LadderMessage] = field(default_factory=list)
 
     @property
     def outcome(self) -> Outcome:
+        """Derived from the final response and the CANCEL."""
         if 200 <= self.status < 300:
             return Outcome.ESTABLISHED
         if self.cancel_ns >= 0 and self.status in (0, 487):
@@ -94,24 +98,25 @@
 
     @property
     def start_ns(self) -> int:
+        """Time of the INVITE, or of the first captured message without one."""
         return self.invite_ns if self.invite_ns >= 0 else self.ladder[0].time_ns
 
     @property
     def answer_ms(self) -> float:
-        """From the INVITE to its final answer; -1 without both."""
+        """Time from the INVITE to its final response; -1 if either is missing."""
         return (self.answer_ns - self.invite_ns) / 1e6 if min(self.answer_ns, self.invite_ns) >= 0 else -1.0
 
     @property
     def hold_ms(self) -> float:
-        """How long it stood, from its answer to its BYE; -1 without both."""
+        """Time from the final response to the BYE; -1 if either is missing."""
         return (self.bye_ns - self.answer_ns) / 1e6 if min(self.bye_ns, self.answer_ns) >= 0 else -1.0
 
 
-MAX_LADDER_MESSAGES = 200  # of one call
+MAX_LADDER_MESSAGES = 200  # per call
 
 
 class _TrackedCall:
-    """A call while it is being followed."""
+    """A call in progress, with the state needed to recognize its messages."""
 
     __slots__ = (
         "record", "message_keys", "invite_cseq", "invite_branch", "bye_cseqs", "last_seen_ns", "finished",
@@ -129,19 +134,20 @@
         self.finished = False
 
 
-MAX_MESSAGE_KEYS = 256
+MAX_MESSAGE_KEYS = 256  # per call, for recognizing repeated messages
 
 
 class CallTracker:
-    """`feed` takes messages in order of time and gives the calls that are complete; `end` gives the rest."""
+    """Builds call records: `feed` takes messages in time order and yields finished calls, `end` the rest."""
 
     def __init__(self) -> None:
-        self.tracked: OrderedDict[str, _TrackedCall] = OrderedDict()  # by Call-ID, the one idle longest first
+        self.tracked: OrderedDict[str, _TrackedCall] = OrderedDict()  # by Call-ID, least recent first
         self.refused_calls: OrderedDict[tuple[str, str], tuple[int, int, str]] = OrderedDict()
         self.last_number = 0
-        self.unmatched_responses = 0  # messages of no call
+        self.unmatched_responses = 0
 
     def feed(self, captured: CapturedMessage) -> Iterator[CallRecord]:
+        """Processes one message and yields the calls that it completes."""
         message = captured.message
         method = message.cseq[1]
         if method in ("INVITE", "ACK", "BYE", "CANCEL", "UPDATE", "PRACK", "INFO"):
@@ -149,6 +155,7 @@
         yield from self._expire(captured.time_ns)
 
     def end(self) -> Iterator[CallRecord]:
+        """Yields the calls that are still tracked at the end of the capture."""
         for call in self.tracked.values():
             call.record.cut_off = not call.finished
             yield call.record
@@ -161,7 +168,7 @@
         call = self.tracked.get(message.call_id)
         is_new_call = message.method == "INVITE" and not _tag_of(message, "to")
         if call is not None and is_new_call and call.finished and message.cseq[0] > call.invite_cseq:
-            yield call.record  # the same Call-ID for another call: the caller tries again (8.1.3.5)
+            yield call.record  # a retry with the same Call-ID (RFC 3261, 8.1.3.5)
             del self.tracked[message.call_id]
             call = None
         if call is None:
@@ -208,7 +215,7 @@
 
     @staticmethod
     def _is_repeat(call: _TrackedCall, captured: CapturedMessage) -> bool:
-        """The same message again: a retransmission, or the same one seen on its next way."""
+        """Whether the message was seen before: a retransmission, or the same packet captured twice."""
         message = captured.message
         kind = f"{message.status}{_tag_of(message, 'to')}" if message.status else message.method
         key = (
@@ -287,7 +294,10 @@
             self.refused_calls.popitem(last=False)
 
     def _expire(self, now: int) -> Iterator[CallRecord]:
-        """Gives out what is over and has been silent, or silent for very long; the table is in that order."""
+        """Yields calls that are finished and past the retransmission window, or idle for very long.
+
+        The table is ordered by idle time, so the scan stops at the first call that stays.
+        """
         while self.tracked:
             key, call = next(iter(self.tracked.items()))
             idle_ns = now - call.last_seen_ns
@@ -298,10 +308,10 @@
             yield call.record
 
 
-# --- what headers say ---
+# --- header parsing ---
 
 
-# Tags and branches are looked at in every message: found without taking the whole header apart.
+# Read in every message, so they are matched without parsing the whole header.
 TAG_PARAMETER = re.compile(r";\s*tag\s*=\s*([^;\s>]+)", re.IGNORECASE)
 BRANCH_PARAMETER = re.compile(r";\s*branch\s*=\s*([^;,\s]+)", re.IGNORECASE)
 
@@ -338,7 +348,7 @@
 
 
 def _decimal(text: str) -> float:
-    """A plain decimal number; 0 where it is none."""
+    """Parses an unsigned decimal number; 0 if the text is not one."""
     integer, _, fraction = text.strip().partition(".")
     valid = integer.isascii() and integer.isdecimal() and len(integer) <= 9
     if not valid or fraction and not (fraction.isascii() and fraction.isdecimal()):
--- a/landingdeal/capture/reader.py
+++ b/landingdeal/capture/reader.py
@@ -1,4 +1,4 @@
-"""Reads captures from end to end: files merged by time, each passed over once, in bounded memory."""
+"""Reads the SIP messages of capture files, merged by time, in one pass and bounded memory."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from landingdeal.capture.problems import Problem, ProblemKind, Problems
 from landingdeal.capture.source import ByteSource, open_source
 
-REORDER_WINDOW_NS = 1_000 * 10**6  # within one file, messages are put in order of time over so much of it
+REORDER_WINDOW_NS = 1_000 * 10**6  # messages of one file are sorted within this span
 
 
 @dataclass
 class ReadReport:
-    """What one pass found out beside the messages."""
+    """Problems, counters and time span of one pass over captures."""
 
     problems: Problems = field(default_factory=Problems)
     counts: Counter[str] = field(default_factory=Counter)
@@ -27,14 +27,17 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all that the captures hold could be read."""
+        """Whether everything in the captures could be read."""
         return not len(self.problems)
 
 
 def read_messages(
     paths: Sequence[str], reading: ReadReport, strict_checksums: bool = False
 ) -> Iterator[CapturedMessage]:
-    """The messages of all files in order of time. Raises OSError; what is no capture is a problem."""
+    """Yields the messages of all files in time order.
+
+    Raises OSError; a file that is not a capture is added to the problems.
+    """
     with ExitStack() as stack:
         streams = []
         for path in paths:
@@ -61,7 +64,7 @@
 
 
 def _sorted_by_time(messages: Iterator[CapturedMessage]) -> Iterator[CapturedMessage]:
-    """In order of time, as far as packets of one file lie at most `LATE_NS` out of it."""
+    """Sorts messages by time, provided that they are at most `REORDER_WINDOW_NS` out of order."""
     buffered: list[tuple[int, int, CapturedMessage]] = []
     newest, number = 0, 0
     for captured in messages:
