--- a/landingdeal/capture/fragments.py
+++ b/landingdeal/capture/fragments.py
@@ -1,8 +1,8 @@
-"""IP fragments put together (RFC 791, RFC 8200). Decisions and state only; the clock is the capture's.
+"""Reassembles IP fragments (RFC 791, RFC 815, RFC 8200). No I/O; time is that of the captured packets.
 
-Refused, not guessed: overlapping IPv6 fragments (RFC 5722), IPv4 fragments whose overlap holds different
-bytes, a TCP fragment that begins inside the TCP header or a first one that does not hold it (RFC 3128), and
-what would be longer than an IP packet can be. The rest of a refused packet is passed over.
+Packets are rejected for overlapping IPv6 fragments (RFC 5722), IPv4 fragments whose overlap differs, a TCP
+fragment that begins inside the TCP header or a first one that does not contain it (RFC 3128), and fragments
+beyond the maximum length of an IP packet. Further fragments of a rejected packet are ignored.
 """
 
 from __future__ import annotations
@@ -12,166 +12,202 @@
 
 from landingdeal.capture.layers import IPPROTO_TCP, IpPacket
 
-REASSEMBLY_TIMEOUT_NS = 30 * 10**9  # for the missing ones, by the latest time that the capture has shown
-MAX_BUFFERED_BYTES = 16 * 1024 * 1024  # held at once; above it the oldest packet is dropped
+REASSEMBLY_TIMEOUT_NS = 30 * 10**9  # for missing fragments, by the latest packet time so far
+MAX_BUFFERED_BYTES = 16 * 1024 * 1024  # of all incomplete packets; above it the oldest one is dropped
 MAX_PACKETS = 4096
-DUPLICATE_WINDOW_NS = 10**9  # so long after a packet was whole its fragments may come once more
+DUPLICATE_WINDOW_NS = 10**9  # duplicate fragments of a completed packet are ignored for this long
 MAX_IP_PACKET_BYTES = 65535
 MIN_TCP_FIRST_FRAGMENT_BYTES = (
-    16  # bytes of a TCP header up to its flags and checksum: RFC 3128 has a first fragment hold them
+    16  # TCP header up to flags and checksum, required in a first fragment (RFC 3128)
 )
-TCP_FLAGS_FRAGMENT_OFFSET = 8  # a fragment that begins there overlays the flags
+TCP_FLAGS_FRAGMENT_OFFSET = 8  # a fragment at this offset overwrites the flags (RFC 3128)
 
 
 @dataclass(frozen=True, slots=True)
 class FailedReassembly:
-    """A packet that could not be put together; `place` is that of its first fragment seen."""
+    """A packet that could not be reassembled; `position` is that of its first captured fragment."""
 
-    overlap: bool
-    why: str
-    position: tuple[int, int]  # offset in the file, number of the packet
+    rejected: bool  # else fragments are missing
+    reason: str
+    position: tuple[int, int]  # offset in the file and packet number
 
 
 class _PartialPacket:
-    __slots__ = ("parts", "size", "whole", "began_ns", "position", "refused", "first")
+    """The fragments of one incomplete packet."""
 
-    def __init__(self, began_ns: int, position: tuple[int, int]) -> None:
-        self.parts: dict[int, bytes] = {}  # by where they begin
-        self.size = 0
-        self.whole = -1  # known once the last fragment has been seen
-        self.began_ns, self.position = began_ns, position
-        self.refused = False
-        self.first: IpPacket | None = None
+    __slots__ = (
+        "fragments", "fragment_bytes", "total_bytes", "started_ns", "position", "rejected", "first_fragment",
+    )  # fmt: skip
+
+    def __init__(self, started_ns: int, position: tuple[int, int]) -> None:
+        self.fragments: dict[int, bytes] = {}  # by fragment offset
+        self.fragment_bytes = 0
+        self.total_bytes = -1  # -1 until the last fragment is known
+        self.started_ns, self.position = started_ns, position
+        self.rejected = False
+        self.first_fragment: IpPacket | None = None
 
 
 _PacketKey = tuple[int, str, str, int, int]
 
 
 class FragmentReassembler:
-    """`feed` gives the whole packet with the fragment that completes it; `lost` holds what was given up."""
-
-    def __init__(self, wait_ns: int = REASSEMBLY_TIMEOUT_NS, bytes_most: int = MAX_BUFFERED_BYTES) -> None:
-        self.wait_ns, self.bytes_most = wait_ns, bytes_most
-        self.partials: OrderedDict[_PacketKey, _PartialPacket] = OrderedDict()  # the oldest first
-        self.done: OrderedDict[_PacketKey, int] = OrderedDict()  # packets that were whole of late, and when
-        self.held = 0
+    """`feed` returns a packet once it is complete; `failures` lists those that can't be reassembled."""
+
+    def __init__(
+        self, timeout_ns: int = REASSEMBLY_TIMEOUT_NS, max_buffered_bytes: int = MAX_BUFFERED_BYTES
+    ) -> None:
+        self.timeout_ns, self.max_buffered_bytes = timeout_ns, max_buffered_bytes
+        self.partials: OrderedDict[_PacketKey, _PartialPacket] = OrderedDict()  # oldest first
+        self.completed: OrderedDict[_PacketKey, int] = OrderedDict()  # completion times, oldest first
+        self.buffered_bytes = 0
         self.now_ns = 0
-        self.lost: list[FailedReassembly] = []
+        self.failures: list[FailedReassembly] = []
 
-    def feed(self, part: IpPacket, time_ns: int, position: tuple[int, int]) -> IpPacket | None:
+    def feed(self, fragment: IpPacket, time_ns: int, position: tuple[int, int]) -> IpPacket | None:
         self.now_ns = max(self.now_ns, time_ns)
         self._expire()
-        key = part.version, part.source, part.target, part.protocol if part.version == 4 else 0, part.ident
+        key = (
+            fragment.version,
+            fragment.source,
+            fragment.target,
+            fragment.protocol if fragment.version == 4 else 0,
+            fragment.identification,
+        )
         partial = self.partials.get(key)
-        if partial is None and key in self.done:
+        if partial is None and key in self.completed:
             return None
         if partial is None:
             partial = self.partials[key] = _PartialPacket(self.now_ns, position)
-        if partial.refused:
+        if partial.rejected:
             return None
-        why = self._objection(partial, part)
-        if why:
-            self._refuse(partial, why)
+        reason = self._rejection_reason(partial, fragment)
+        if reason:
+            self._reject(partial, reason)
             return None
-        known = partial.parts.get(part.at)
-        if known is None or len(part.payload) > len(known):
-            grown = len(part.payload) - len(known or b"")
-            partial.parts[part.at] = part.payload
-            partial.size += grown
-            self.held += grown
-        if not part.more:
-            partial.whole = part.at + len(part.payload)
-        if part.at == 0:
-            partial.first = part
-        whole = self._whole(partial)
-        if whole is not None:
-            assert partial.first is not None
+        known = partial.fragments.get(fragment.fragment_offset)
+        if known is None or len(fragment.payload) > len(known):
+            grown = len(fragment.payload) - len(known or b"")
+            partial.fragments[fragment.fragment_offset] = fragment.payload
+            partial.fragment_bytes += grown
+            self.buffered_bytes += grown
+        if not fragment.more_fragments:
+            partial.total_bytes = fragment.fragment_offset + len(fragment.payload)
+        if fragment.fragment_offset == 0:
+            partial.first_fragment = fragment
+        payload = self._assemble(partial)
+        if payload is not None:
+            assert partial.first_fragment is not None
             self._drop(key)
-            self.done[key] = self.now_ns
-            return replace(partial.first, payload=whole, at=0, more=False)
-        self._bound()
+            self.completed[key] = self.now_ns
+            return replace(partial.first_fragment, payload=payload, fragment_offset=0, more_fragments=False)
+        self._enforce_limits()
         return None
 
     def end(self) -> None:
-        """The capture is over: what is missing does not come any more."""
+        """Fails all incomplete packets at the end of the capture."""
         for key in list(self.partials):
-            self._give_up(key, "the capture ends")
+            self._fail(key, "the capture ends")
 
     @staticmethod
-    def _objection(partial: _PartialPacket, part: IpPacket) -> str:
-        """Why the whole packet is refused because of this fragment; empty if it is not."""
-        begin, end = part.at, part.at + len(part.payload)
+    def _rejection_reason(partial: _PartialPacket, fragment: IpPacket) -> str:
+        """Why this fragment makes the whole packet invalid; empty if it does not."""
+        start, end = fragment.fragment_offset, fragment.fragment_offset + len(fragment.payload)
         if end > MAX_IP_PACKET_BYTES:
             return f"a fragment ends at byte {end}, beyond what an IP packet can hold"
-        if part.short:
-            return f"a fragment was cut by {part.short} bytes"
-        if part.more and len(part.payload) % 8:
-            return f"a fragment of {len(part.payload)} bytes is not the last one"
-        if partial.whole >= 0 and (end > partial.whole or not part.more and end != partial.whole):
-            return f"a fragment ends at byte {end} of a packet of {partial.whole}"
-        if not part.more and any(at + len(data) > end for at, data in partial.parts.items()):
+        if fragment.missing_bytes:
+            return f"a fragment was cut by {fragment.missing_bytes} bytes"
+        if fragment.more_fragments and len(fragment.payload) % 8:
+            return f"a fragment of {len(fragment.payload)} bytes is not the last one"
+        if partial.total_bytes >= 0 and (
+            end > partial.total_bytes or not fragment.more_fragments and end != partial.total_bytes
+        ):
+            return f"a fragment ends at byte {end} of a packet of {partial.total_bytes}"
+        if not fragment.more_fragments and any(
+            other_start + len(other_payload) > end for other_start, other_payload in partial.fragments.items()
+        ):
             return f"the last fragment ends at byte {end}, before another"
-        if part.version == 4 and part.protocol == IPPROTO_TCP:
-            if begin == TCP_FLAGS_FRAGMENT_OFFSET:
+        if fragment.version == 4 and fragment.protocol == IPPROTO_TCP:
+            if start == TCP_FLAGS_FRAGMENT_OFFSET:
                 return "a fragment lies over the TCP flags (RFC 3128)"
-            if begin == 0 and part.more and len(part.payload) < MIN_TCP_FIRST_FRAGMENT_BYTES:
+            if (
+                start == 0
+                and fragment.more_fragments
+                and len(fragment.payload) < MIN_TCP_FIRST_FRAGMENT_BYTES
+            ):
                 return "the first fragment does not hold the TCP header (RFC 3128)"
-        for at, data in partial.parts.items():
-            if begin >= at + len(data) or at >= end:
+        for other_start, other_payload in partial.fragments.items():
+            if start >= other_start + len(other_payload) or other_start >= end:
                 continue
-            if at == begin and data == part.payload:
-                continue  # the same one again (RFC 8200 4.5)
-            if part.version == 6:
-                return f"bytes {max(at, begin)} to {min(at + len(data), end)} come twice (RFC 5722)"
-            low, high = max(at, begin), min(at + len(data), end)
-            if data[low - at : high - at] != part.payload[low - begin : high - begin]:
-                return f"bytes {low} to {high} come twice and differ"
+            if other_start == start and other_payload == fragment.payload:
+                continue  # an exact duplicate (RFC 8200, 4.5)
+            if fragment.version == 6:
+                return (
+                    f"bytes {max(other_start, start)} to {min(other_start + len(other_payload), end)} "
+                    "come twice (RFC 5722)"
+                )
+            overlap_start, overlap_end = max(other_start, start), min(other_start + len(other_payload), end)
+            if (
+                other_payload[overlap_start - other_start : overlap_end - other_start]
+                != fragment.payload[overlap_start - start : overlap_end - start]
+            ):
+                return f"bytes {overlap_start} to {overlap_end} come twice and differ"
         return ""
 
     @staticmethod
-    def _whole(partial: _PartialPacket) -> bytes | None:
-        if partial.whole < 0 or partial.first is None or partial.size < partial.whole:
+    def _assemble(partial: _PartialPacket) -> bytes | None:
+        if (
+            partial.total_bytes < 0
+            or partial.first_fragment is None
+            or partial.fragment_bytes < partial.total_bytes
+        ):
             return None
-        made = b""
-        for at in sorted(partial.parts):
-            if at > len(made):
+        payload = b""
+        for start in sorted(partial.fragments):
+            if start > len(payload):
                 return None
-            made += partial.parts[at][len(made) - at :]
-        return made if len(made) == partial.whole else None
+            payload += partial.fragments[start][len(payload) - start :]
+        return payload if len(payload) == partial.total_bytes else None
 
     # --- bounds ---
 
-    def _refuse(self, partial: _PartialPacket, why: str) -> None:
-        """It stays known, without its bytes, so that the rest of it is passed over."""
-        self.held -= partial.size
-        partial.parts.clear()
-        partial.size, partial.refused = 0, True
-        self.lost.append(FailedReassembly(True, why, partial.position))
+    def _reject(self, partial: _PartialPacket, reason: str) -> None:
+        """Keeps the entry without its bytes, so that further fragments are ignored."""
+        self.buffered_bytes -= partial.fragment_bytes
+        partial.fragments.clear()
+        partial.fragment_bytes, partial.rejected = 0, True
+        self.failures.append(FailedReassembly(True, reason, partial.position))
 
     def _drop(self, key: _PacketKey) -> None:
-        self.held -= self.partials.pop(key).size
+        self.buffered_bytes -= self.partials.pop(key).fragment_bytes
 
-    def _give_up(self, key: _PacketKey, why: str) -> None:
+    def _fail(self, key: _PacketKey, reason: str) -> None:
         partial = self.partials[key]
-        if not partial.refused:
-            told = f"of {partial.whole} bytes" if partial.whole >= 0 else "of a packet whose end is not known"
-            self.lost.append(
-                FailedReassembly(False, f"{partial.size} bytes came {told}: {why}", partial.position)
+        if not partial.rejected:
+            expected = (
+                f"of {partial.total_bytes} bytes"
+                if partial.total_bytes >= 0
+                else "of a packet whose end is not known"
+            )
+            self.failures.append(
+                FailedReassembly(
+                    False, f"{partial.fragment_bytes} bytes came {expected}: {reason}", partial.position
+                )
             )
         self._drop(key)
 
     def _expire(self) -> None:
-        while self.done:
-            key, at = next(iter(self.done.items()))
-            if self.now_ns - at <= DUPLICATE_WINDOW_NS and len(self.done) <= MAX_PACKETS:
+        while self.completed:
+            key, completed_ns = next(iter(self.completed.items()))
+            if self.now_ns - completed_ns <= DUPLICATE_WINDOW_NS and len(self.completed) <= MAX_PACKETS:
                 break
-            del self.done[key]
+            del self.completed[key]
         while self.partials:
             key = next(iter(self.partials))
-            if self.now_ns - self.partials[key].began_ns <= self.wait_ns:
+            if self.now_ns - self.partials[key].started_ns <= self.timeout_ns:
                 return
-            self._give_up(key, f"the rest did not come within {self.wait_ns // 10**9} s")
+            self._fail(key, f"the rest did not come within {self.timeout_ns // 10**9} s")
 
-    def _bound(self) -> None:
-        while self.held > self.bytes_most or len(self.partials) > MAX_PACKETS:
-            self._give_up(next(iter(self.partials)), "dropped for room")
+    def _enforce_limits(self) -> None:
+        while self.buffered_bytes > self.max_buffered_bytes or len(self.partials) > MAX_PACKETS:
+            self._fail(next(iter(self.partials)), "dropped for room")
--- a/landingdeal/capture/layers.py
+++ b/landingdeal/capture/layers.py
@@ -1,4 +1,4 @@
-"""From a captured frame to IP, and from IP to UDP and TCP. Pure: bytes in, small frozen values out."""
+"""Decodes captured frames to IP packets, and these to UDP datagrams and TCP segments. No I/O, no state."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
     LINKTYPE_ETHERNET: 12,
     LINKTYPE_LINUX_SLL: 14,
     LINKTYPE_LINUX_SLL2: 0,
-}  # where the frame says what it carries
+}  # offset of the EtherType
 _PAYLOAD_OFFSET = {LINKTYPE_ETHERNET: 14, LINKTYPE_LINUX_SLL: 16, LINKTYPE_LINUX_SLL2: 20}
 ETHERTYPE_IPV4, ETHERTYPE_IPV6, VLAN_ETHERTYPES = 0x0800, 0x86DD, frozenset((0x8100, 0x88A8, 0x9100))
 IPPROTO_UDP, IPPROTO_TCP = 17, 6
 IPV6_FRAGMENT_HEADER = 44
 IPV6_EXTENSION_HEADERS = frozenset(
     (0, 43, 60, 135, 139, 140)
-)  # of IPv6 with the usual length byte; 51 counts otherwise
+)  # with a length in units of 8 bytes; the authentication header uses 4
 IPV6_AUTHENTICATION_HEADER = 51
 MAX_EXTENSION_HEADERS = 16
 
@@ -51,142 +51,152 @@
 
 
 class MalformedPacket(Exception):
-    """Its lengths can't be; the text says which."""
+    """Impossible lengths or a truncated header; the text names them."""
 
 
 class UnsupportedProtocol(Exception):
-    """Neither IP, nor UDP or TCP: passed over."""
+    """Not IP, or neither UDP nor TCP: the packet is skipped."""
 
 
 @dataclass(frozen=True, slots=True)
 class IpPacket:
-    """An IP packet or one fragment of it. `short`: bytes that the capture did not keep."""
+    """An IP packet or one fragment of it. `missing_bytes`: bytes that the capture truncated."""
 
     version: int
     source: str
     target: str
     protocol: int
     payload: bytes
-    short: int = 0
-    ident: int = 0
-    at: int = 0  # of a fragment, in bytes
-    more: bool = False
+    missing_bytes: int = 0
+    identification: int = 0
+    fragment_offset: int = 0  # in bytes
+    more_fragments: bool = False
 
     @property
-    def fragment(self) -> bool:
-        return self.more or self.at > 0
+    def is_fragment(self) -> bool:
+        return self.more_fragments or self.fragment_offset > 0
 
 
 class ChecksumStatus(Enum):
-    """What a checksum says."""
+    """The result of verifying a checksum."""
 
     GOOD = "good"
-    ABSENT = "absent"  # zero: UDP over IPv4 may go without; or it was left to the network card
-    OFFLOADED = "offloaded"  # the pseudo-header alone is summed: the network card was to do the rest
+    ABSENT = "absent"  # zero: optional for UDP over IPv4, or left to the network card
+    OFFLOADED = "offloaded"  # covers only the pseudo-header: the network card computes the rest
     WRONG = "wrong"
 
 
 @dataclass(frozen=True, slots=True)
 class UdpDatagram:
+    """A UDP datagram and the status of its checksum."""
+
     source: Address
     target: Address
     payload: bytes
-    sum: ChecksumStatus
+    checksum: ChecksumStatus
 
 
 @dataclass(frozen=True, slots=True)
 class TcpSegment:
+    """A TCP segment and the status of its checksum."""
+
     source: Address
     target: Address
     payload: bytes
-    sum: ChecksumStatus
+    checksum: ChecksumStatus
     seq: int
-    ack: int  # -1 where it carries none
+    ack: int  # -1 without the ACK flag
     syn: bool
     fin: bool
     rst: bool
 
 
 @lru_cache(4096)
-def _v4(raw: bytes) -> str:
+def _ipv4_text(raw: bytes) -> str:
     return socket.inet_ntop(socket.AF_INET, raw)
 
 
 @lru_cache(4096)
-def _v6(raw: bytes) -> str:
+def _ipv6_text(raw: bytes) -> str:
     return socket.inet_ntop(socket.AF_INET6, raw)
 
 
-def decode_frame(link: int, data: bytes) -> IpPacket:
-    """Raises NotForUs, or BadPacket."""
+def decode_frame(link_type: int, data: bytes) -> IpPacket:
+    """Decodes the IP packet in a frame of a link type. Raises UnsupportedProtocol or MalformedPacket."""
     try:
-        at = _ETHERTYPE_OFFSET.get(link)
-        if at is None:
-            if link not in LINK_TYPES:
-                raise UnsupportedProtocol(f"link type {link}")
-            data = data[4:] if link in (LINKTYPE_NULL, LINKTYPE_LOOP) else data
+        offset = _ETHERTYPE_OFFSET.get(link_type)
+        if offset is None:
+            if link_type not in LINK_TYPES:
+                raise UnsupportedProtocol(f"link type {link_type}")
+            data = data[4:] if link_type in (LINKTYPE_NULL, LINKTYPE_LOOP) else data
             version = data[0] >> 4
         else:
-            (kind,) = struct.unpack_from(">H", data, at)
-            at = _PAYLOAD_OFFSET[link]
-            while kind in VLAN_ETHERTYPES:
-                (kind,) = struct.unpack_from(">H", data, at + 2)
-                at += 4
-            if kind not in (ETHERTYPE_IPV4, ETHERTYPE_IPV6):
+            (ethertype,) = struct.unpack_from(">H", data, offset)
+            offset = _PAYLOAD_OFFSET[link_type]
+            while ethertype in VLAN_ETHERTYPES:
+                (ethertype,) = struct.unpack_from(">H", data, offset + 2)
+                offset += 4
+            if ethertype not in (ETHERTYPE_IPV4, ETHERTYPE_IPV6):
                 raise UnsupportedProtocol("not IP")
-            data = data[at:]
+            data = data[offset:]
             version = data[0] >> 4
-            if version != (4 if kind == ETHERTYPE_IPV4 else 6):
+            if version != (4 if ethertype == ETHERTYPE_IPV4 else 6):
                 raise MalformedPacket(f"IP version {version} in a frame of the other")
         if version == 4:
-            return _ip4(data)
+            return _decode_ipv4(data)
         if version == 6:
-            return _ip6(data)
+            return _decode_ipv6(data)
     except (struct.error, IndexError):
         raise MalformedPacket("it ends inside its headers") from None
     raise UnsupportedProtocol("not IP")
 
 
-def _ip4(data: bytes) -> IpPacket:
-    first, _, total, ident, flags, _, protocol = struct.unpack_from(">BBHHHBB", data)
-    head = (first & 15) * 4
-    if total == 0:  # segmentation was left to the network card
-        total = len(data)
-    if head < 20 or total < head or len(data) < head:
-        raise MalformedPacket(f"an IPv4 header of {head} bytes in a packet of {total}")
+def _decode_ipv4(data: bytes) -> IpPacket:
+    version_and_length, _, total_length, identification, flags, _, protocol = struct.unpack_from(
+        ">BBHHHBB", data
+    )
+    header_bytes = (version_and_length & 15) * 4
+    if total_length == 0:  # segmentation was left to the network card
+        total_length = len(data)
+    if header_bytes < 20 or total_length < header_bytes or len(data) < header_bytes:
+        raise MalformedPacket(f"an IPv4 header of {header_bytes} bytes in a packet of {total_length}")
     return IpPacket(
-        4, _v4(data[12:16]), _v4(data[16:20]), protocol, data[head:total], max(total - len(data), 0), ident,
+        4, _ipv4_text(data[12:16]), _ipv4_text(data[16:20]), protocol, data[header_bytes:total_length],
+        max(total_length - len(data), 0), identification,
         (flags & 0x1FFF) * 8, bool(flags & 0x2000),
     )  # fmt: skip
 
 
-def _ip6(data: bytes) -> IpPacket:
-    length, following = struct.unpack_from(">HB", data, 4)
-    source, target = _v6(data[8:24]), _v6(data[24:40])
+def _decode_ipv6(data: bytes) -> IpPacket:
+    length, next_header = struct.unpack_from(">HB", data, 4)
+    source, target = _ipv6_text(data[8:24]), _ipv6_text(data[24:40])
     if len(data) < 40:
         raise MalformedPacket("it ends inside its headers")
-    if length == 0:  # a jumbogram, or segmentation left to the network card
+    if length == 0:  # a jumbogram, or segmentation was left to the network card
         length = len(data) - 40
-    body, short = data[40 : 40 + length], max(40 + length - len(data), 0)
+    body, missing_bytes = data[40 : 40 + length], max(40 + length - len(data), 0)
     for _ in range(MAX_EXTENSION_HEADERS):
-        if following in IPV6_EXTENSION_HEADERS or following == IPV6_AUTHENTICATION_HEADER:
-            size = (body[1] + 2) * 4 if following == IPV6_AUTHENTICATION_HEADER else (body[1] + 1) * 8
+        if next_header in IPV6_EXTENSION_HEADERS or next_header == IPV6_AUTHENTICATION_HEADER:
+            size = (body[1] + 2) * 4 if next_header == IPV6_AUTHENTICATION_HEADER else (body[1] + 1) * 8
             if size > len(body):
                 raise MalformedPacket("an IPv6 extension header is longer than its packet")
-            following, body = body[0], body[size:]
-        elif following == IPV6_FRAGMENT_HEADER:
-            follows, _, flags, ident = struct.unpack_from(">BBHI", body)
-            at, more = flags & 0xFFF8, bool(flags & 1)
-            if at or more:  # an atomic fragment (RFC 6946) is whole
-                return IpPacket(6, source, target, follows, body[8:], short, ident, at, more)
-            following, body = follows, body[8:]
+            next_header, body = body[0], body[size:]
+        elif next_header == IPV6_FRAGMENT_HEADER:
+            fragment_next_header, _, flags, identification = struct.unpack_from(">BBHI", body)
+            fragment_offset, more_fragments = flags & 0xFFF8, bool(flags & 1)
+            if fragment_offset or more_fragments:  # an atomic fragment (RFC 6946) is a whole packet
+                return IpPacket(
+                    6, source, target, fragment_next_header, body[8:], missing_bytes, identification,
+                    fragment_offset, more_fragments,
+                )  # fmt: skip
+            next_header, body = fragment_next_header, body[8:]
         else:
-            return IpPacket(6, source, target, following, body, short)
+            return IpPacket(6, source, target, next_header, body, missing_bytes)
     raise MalformedPacket("too many IPv6 extension headers")
 
 
 def ones_complement_sum(data: bytes) -> int:
-    """The ones' complement sum of 16-bit words (RFC 1071), by way of arithmetic modulo 2^16 - 1."""
+    """The ones' complement sum of 16-bit words (RFC 1071), computed modulo 2^16 - 1."""
     if len(data) % 2:
         data += b"\0"
     total = int.from_bytes(data, "big")
@@ -194,44 +204,50 @@
 
 
 def pseudo_header(ip: IpPacket, size: int) -> bytes:
+    """The pseudo-header that UDP and TCP checksums cover, for a payload of `size` bytes."""
     family = socket.AF_INET if ip.version == 4 else socket.AF_INET6
-    hosts = socket.inet_pton(family, ip.source) + socket.inet_pton(family, ip.target)
+    addresses = socket.inet_pton(family, ip.source) + socket.inet_pton(family, ip.target)
     if ip.version == 4:
-        return hosts + struct.pack(">BBH", 0, ip.protocol, size)
-    return hosts + struct.pack(">IHBB", size, 0, 0, ip.protocol)
+        return addresses + struct.pack(">BBH", 0, ip.protocol, size)
+    return addresses + struct.pack(">IHBB", size, 0, 0, ip.protocol)
 
 
-def checksum_status(ip: IpPacket, payload: bytes, told: int) -> ChecksumStatus:
-    """`told` is the checksum in the header of `payload`."""
-    if told == 0 and ip.protocol == IPPROTO_UDP:
+def checksum_status(ip: IpPacket, payload: bytes, stored_checksum: int) -> ChecksumStatus:
+    """Verifies a UDP or TCP checksum. `stored_checksum` is the one in the header of `payload`."""
+    if stored_checksum == 0 and ip.protocol == IPPROTO_UDP:
         return ChecksumStatus.ABSENT
     pseudo = pseudo_header(ip, len(payload))
     if ones_complement_sum(pseudo + payload) == 0xFFFF:
         return ChecksumStatus.GOOD
-    if told == 0:
+    if stored_checksum == 0:
         return ChecksumStatus.ABSENT
-    return ChecksumStatus.OFFLOADED if told == ones_complement_sum(pseudo) else ChecksumStatus.WRONG
+    return (
+        ChecksumStatus.OFFLOADED if stored_checksum == ones_complement_sum(pseudo) else ChecksumStatus.WRONG
+    )
 
 
 def decode_transport(ip: IpPacket) -> UdpDatagram | TcpSegment:
-    """Of a whole packet. Raises NotForUs, or BadPacket."""
+    """Decodes the payload of an unfragmented packet. Raises UnsupportedProtocol or MalformedPacket."""
     data = ip.payload
     try:
         if ip.protocol == IPPROTO_UDP:
-            source, target, size, told = struct.unpack_from(">HHHH", data)
+            source, target, size, stored_checksum = struct.unpack_from(">HHHH", data)
             if size == 0 and ip.version == 6:
                 size = len(data)
             if not 8 <= size <= len(data):
                 raise MalformedPacket(f"a UDP length of {size} in {len(data)} bytes")
-            summed = checksum_status(ip, data[:size], told)
-            return UdpDatagram((ip.source, source), (ip.target, target), data[8:size], summed)
+            status = checksum_status(ip, data[:size], stored_checksum)
+            return UdpDatagram((ip.source, source), (ip.target, target), data[8:size], status)
         if ip.protocol == IPPROTO_TCP:
-            source, target, seq, ack, offset, flags, _, told = struct.unpack_from(">HHIIBBHH", data)
-            head = (offset >> 4) * 4
-            if not 20 <= head <= len(data):
-                raise MalformedPacket(f"a TCP header of {head} bytes in {len(data)}")
+            source, target, seq, ack, data_offset, flags, _, stored_checksum = struct.unpack_from(
+                ">HHIIBBHH", data
+            )
+            header_bytes = (data_offset >> 4) * 4
+            if not 20 <= header_bytes <= len(data):
+                raise MalformedPacket(f"a TCP header of {header_bytes} bytes in {len(data)}")
             return TcpSegment(
-                (ip.source, source), (ip.target, target), data[head:], checksum_status(ip, data, told), seq,
+                (ip.source, source), (ip.target, target), data[header_bytes:],
+                checksum_status(ip, data, stored_checksum), seq,
                 ack if flags & 16 else -1, bool(flags & 2), bool(flags & 1), bool(flags & 4),
             )  # fmt: skip
     except struct.error:
--- a/landingdeal/capture/messages.py
+++ b/landingdeal/capture/messages.py
@@ -1,4 +1,4 @@
-"""From packets to SIP messages: the one pass over a capture that everything else is made from."""
+"""Extracts SIP messages from captured packets, in one pass, through IP and TCP reassembly."""
 
 from __future__ import annotations
 
@@ -31,56 +31,56 @@
     decode_datagram,
 )
 
-PacketPosition = tuple[int, int]
+PacketPosition = tuple[int, int]  # offset in the file and packet number
 Endpoints = tuple[Address, Address]
 
-# a start line, as RFC 3261 7.1 and 7.2 have it, at the beginning of a line
-# anywhere where the method is one of the usual ones, since a body need not end with a line
+# A start line (RFC 3261, 7.1 and 7.2) at the beginning of a line. Well-known methods match anywhere, because
+# the preceding body need not end with a line break.
 START_LINE = re.compile(
     rb"(?:(?<=\n)[A-Za-z0-9.!%*_+`'~-]{1,32}"
     rb"|INVITE|ACK|BYE|CANCEL|OPTIONS|REGISTER|INFO|PRACK|UPDATE|NOTIFY|SUBSCRIBE|MESSAGE|REFER|PUBLISH)"
     rb" \S{1,2048} SIP/2\.0\r\n|SIP/2\.0 [1-6][0-9]{2} [^\r\n]*\r\n"
 )
-MAX_RESYNC_BYTES = 32 * 1024  # bytes of a direction without a start line: it carries something else
+MAX_RESYNC_BYTES = 32 * 1024  # without a start line in so many bytes, a direction carries another protocol
 MAX_STREAMS = 4096
 
 
 def looks_like_sip(data: bytes) -> bool:
-    """Whether the first line names the protocol; anything else in a capture is not ours to judge."""
+    """Whether the first line mentions SIP; other payloads are not reported as malformed."""
     line, _, _ = data.lstrip(b"\r\n")[:4096].partition(b"\n")
     return b"SIP/2.0" in line or b" sip:" in line.lower()
 
 
 @dataclass(frozen=True, slots=True)
 class CapturedMessage:
-    """One SIP message as it passed. `time_ns`: that of the last packet that it needed."""
+    """One captured SIP message. `time_ns`: time of the packet that completed it."""
 
     time_ns: int
     transport: str  # UDP or TCP
     source: Address
     target: Address
     message: Message
-    position: PacketPosition  # offset in the file and number of that packet
+    position: PacketPosition  # of the packet that completed it
     file: str = ""
 
 
 class _Direction:
-    """One TCP direction: its framer, and whether it has found its feet in the stream."""
+    """The message framing state of one TCP direction."""
 
-    __slots__ = ("framer", "lost", "searched", "held")
+    __slots__ = ("framer", "resynchronizing", "searched_bytes", "search_tail")
 
     def __init__(self) -> None:
         self.framer = Framer()
-        self.lost = True  # looking for a start line: at the beginning, after a gap or broken framing
-        self.searched = 0
-        self.held = b""
+        self.resynchronizing = True  # until a start line: at first, after a gap or broken framing
+        self.searched_bytes = 0
+        self.search_tail = b""
 
 
 class MessageExtractor:
-    """Feeds packets through fragments and streams; tells what is wrong to `problems`, and counts the rest."""
+    """Turns packets into SIP messages; adds faults to `problems` and counts everything else."""
 
     def __init__(self, problems: Problems, file: str = "", strict_checksums: bool = False) -> None:
-        self.problems, self.file, self.strict = problems, file, strict_checksums
+        self.problems, self.file, self.strict_checksums = problems, file, strict_checksums
         self.fragments, self.streams = FragmentReassembler(), TcpReassembler()
         self.directions: OrderedDict[Endpoints, _Direction] = OrderedDict()
         self.counts: Counter[str] = Counter()
@@ -88,11 +88,13 @@
         self._last_position: PacketPosition = (-1, 0)
 
     def run(self, packets: Iterable[Packet]) -> Iterator[CapturedMessage]:
+        """Yields the messages of all packets."""
         for packet in packets:
             yield from self.feed(packet)
         yield from self.end()
 
     def feed(self, packet: Packet) -> Iterator[CapturedMessage]:
+        """Yields the messages that one packet completes."""
         self._last_position = position = packet.offset, packet.number
         self.counts["packets"] += 1
         self.counts["bytes"] += len(packet.data)
@@ -102,150 +104,173 @@
             self.counts["clock went back"] += 1
         self.last_ns = max(self.last_ns, packet.time_ns)
         try:
-            ip = decode_frame(packet.link, packet.data)
-            if ip.fragment:
+            ip = decode_frame(packet.link_type, packet.data)
+            if ip.is_fragment:
                 self.counts["fragments"] += 1
-                whole = self.fragments.feed(ip, packet.time_ns, position)
-                self._lost_fragments()
-                if whole is None:
+                reassembled = self.fragments.feed(ip, packet.time_ns, position)
+                self._report_failed_reassemblies()
+                if reassembled is None:
                     return
-                ip = whole
-            yield from self._whole(ip, packet.time_ns, position)
-        except UnsupportedProtocol as why:
-            self.counts[str(why)] += 1
-        except MalformedPacket as why:
-            if packet.length == len(packet.data):  # else the cut has been told already
-                self._tell(ProblemKind.BAD_RECORD, str(why), position)
+                ip = reassembled
+            yield from self._process_packet(ip, packet.time_ns, position)
+        except UnsupportedProtocol as error:
+            self.counts[str(error)] += 1
+        except MalformedPacket as error:
+            if packet.wire_length == len(packet.data):  # else the truncation is reported already
+                self._add_problem(ProblemKind.BAD_RECORD, str(error), position)
 
     def end(self) -> Iterator[CapturedMessage]:
+        """Yields the messages completed by the end of the capture and reports what is incomplete."""
         self.fragments.end()
-        self._lost_fragments()
-        for ends, event in self.streams.end(self._last_position):
-            yield from self._event(ends, event)
+        self._report_failed_reassemblies()
+        for endpoints, event in self.streams.end(self._last_position):
+            yield from self._process_event(endpoints, event)
 
-    def _tell(self, kind: ProblemKind, detail: str, position: PacketPosition) -> None:
+    def _add_problem(self, kind: ProblemKind, detail: str, position: PacketPosition) -> None:
         self.problems.add(Problem(kind, detail, *position, self.file))
 
-    def _lost_fragments(self) -> None:
-        for lost in self.fragments.lost:
-            kind = ProblemKind.FRAGMENT_OVERLAP if lost.overlap else ProblemKind.FRAGMENT_MISSING
-            self._tell(kind, lost.why, lost.position)
-        self.fragments.lost.clear()
-
-    def _whole(self, ip: IpPacket, time_ns: int, position: PacketPosition) -> Iterator[CapturedMessage]:
-        made = decode_transport(ip)
-        made_sum = ChecksumStatus.ABSENT if ip.short else made.sum  # of what was cut it can't be told
-        if made_sum is not ChecksumStatus.GOOD:
-            self.counts[f"checksum {made_sum.value}"] += 1
-        if made_sum is ChecksumStatus.WRONG and (self.strict or looks_like_sip(made.payload)):
-            self._tell(ProblemKind.BAD_CHECKSUM, f"{made.source[0]} to {made.target[0]}", position)
-            if self.strict:
+    def _report_failed_reassemblies(self) -> None:
+        for failure in self.fragments.failures:
+            kind = ProblemKind.FRAGMENT_OVERLAP if failure.rejected else ProblemKind.FRAGMENT_MISSING
+            self._add_problem(kind, failure.reason, failure.position)
+        self.fragments.failures.clear()
+
+    def _process_packet(
+        self, ip: IpPacket, time_ns: int, position: PacketPosition
+    ) -> Iterator[CapturedMessage]:
+        decoded = decode_transport(ip)
+        # the checksum of a truncated packet can't be verified
+        checksum = ChecksumStatus.ABSENT if ip.missing_bytes else decoded.checksum
+        if checksum is not ChecksumStatus.GOOD:
+            self.counts[f"checksum {checksum.value}"] += 1
+        if checksum is ChecksumStatus.WRONG and (self.strict_checksums or looks_like_sip(decoded.payload)):
+            self._add_problem(
+                ProblemKind.BAD_CHECKSUM, f"{decoded.source[0]} to {decoded.target[0]}", position
+            )
+            if self.strict_checksums:
                 return
-        if isinstance(made, TcpSegment):
-            for ends, event in self.streams.feed(made, time_ns, position):
-                yield from self._event(ends, event)
+        if isinstance(decoded, TcpSegment):
+            for endpoints, event in self.streams.feed(decoded, time_ns, position):
+                yield from self._process_event(endpoints, event)
         else:
-            yield from self._datagram(made, ip.short, time_ns, position)
+            yield from self._process_datagram(decoded, ip.missing_bytes, time_ns, position)
 
-    def _datagram(
-        self, made: UdpDatagram, short: int, time_ns: int, position: PacketPosition
+    def _process_datagram(
+        self, datagram: UdpDatagram, missing_bytes: int, time_ns: int, position: PacketPosition
     ) -> Iterator[CapturedMessage]:
-        if not made.payload.strip(b"\r\n\0"):
+        if not datagram.payload.strip(b"\r\n\0"):
             self.counts["keep-alives"] += 1
-        elif not looks_like_sip(made.payload):
+        elif not looks_like_sip(datagram.payload):
             self.counts["other payloads"] += 1
-        elif len(made.payload) > 65536:
-            self._tell(ProblemKind.MALFORMED_MESSAGE, "over 64 KiB", position)
+        elif len(datagram.payload) > 65536:
+            self._add_problem(ProblemKind.MALFORMED_MESSAGE, "over 64 KiB", position)
         else:
-            yield from self._message(
-                "UDP", (made.source, made.target), decode_datagram(made.payload), time_ns, position
+            yield from self._emit_message(
+                "UDP",
+                (datagram.source, datagram.target),
+                decode_datagram(datagram.payload),
+                time_ns,
+                position,
             )
 
-    def _message(
+    def _emit_message(
         self,
         transport: str,
-        ends: Endpoints,
+        endpoints: Endpoints,
         message: Message | Malformed,
         time_ns: int,
         position: PacketPosition,
     ) -> Iterator[CapturedMessage]:
         if isinstance(message, Malformed):
-            self._tell(ProblemKind.MALFORMED_MESSAGE, message.why, position)
+            self._add_problem(ProblemKind.MALFORMED_MESSAGE, message.why, position)
             return
         self.counts["messages"] += 1
-        yield CapturedMessage(time_ns, transport, *ends, message, position, self.file)
+        yield CapturedMessage(time_ns, transport, *endpoints, message, position, self.file)
 
     # --- streams ---
 
-    def _event(self, ends: Endpoints, event: StreamEvent) -> Iterator[CapturedMessage]:
+    def _process_event(self, endpoints: Endpoints, event: StreamEvent) -> Iterator[CapturedMessage]:
         if isinstance(event, OverlapConflict):
-            self._tell(
+            self._add_problem(
                 ProblemKind.TCP_CONFLICT,
-                f"byte {event.at} of {_way(ends)}: {event.size} bytes differ",
+                f"byte {event.stream_offset} of {_endpoints_text(endpoints)}: "
+                f"{event.differing_bytes} bytes differ",
                 event.position,
             )
             return
-        direction = self.directions.get(ends)
+        direction = self.directions.get(endpoints)
         if isinstance(event, StreamEnded):
             if direction is not None:
-                self._over(direction, ends, event)
-                del self.directions[ends]
+                self._report_unfinished_message(direction, endpoints, event)
+                del self.directions[endpoints]
             return
         if direction is None:
-            direction = self.directions[ends] = _Direction()
+            direction = self.directions[endpoints] = _Direction()
             while len(self.directions) > MAX_STREAMS:
                 self.directions.popitem(last=False)
         if event.gap:
-            if direction.searched <= MAX_RESYNC_BYTES and not (direction.lost and direction.searched):
-                self._tell(
-                    ProblemKind.TCP_GAP, f"{event.gap} bytes of {_way(ends)} are not there", event.position
+            if direction.searched_bytes <= MAX_RESYNC_BYTES and not (
+                direction.resynchronizing and direction.searched_bytes
+            ):
+                self._add_problem(
+                    ProblemKind.TCP_GAP,
+                    f"{event.gap} bytes of {_endpoints_text(endpoints)} are not there",
+                    event.position,
                 )
-            direction.framer, direction.lost, direction.held = Framer(), True, b""
-        yield from self._bytes(direction, ends, event)
+            direction.framer, direction.resynchronizing, direction.search_tail = Framer(), True, b""
+        yield from self._parse_stream_data(direction, endpoints, event)
 
-    def _bytes(self, direction: _Direction, ends: Endpoints, event: StreamData) -> Iterator[CapturedMessage]:
+    def _parse_stream_data(
+        self, direction: _Direction, endpoints: Endpoints, event: StreamData
+    ) -> Iterator[CapturedMessage]:
         data = event.data
         while data:
-            if direction.lost:
-                data = self._find(direction, data)
+            if direction.resynchronizing:
+                data = self._find_start_line(direction, data)
                 if not data:
                     return
-            made: list[Message | Malformed] = []
-            broken = ""
+            parsed: list[Message | Malformed] = []
+            framing_error = ""
             try:
-                made.extend(direction.framer.feed(data))
+                parsed.extend(direction.framer.feed(data))
             except BrokenFraming as error:
-                broken = str(error)
+                framing_error = str(error)
             data = b""
-            for message in made:
-                yield from self._message("TCP", ends, message, event.time_ns, event.position)
-            if broken:
-                self._tell(ProblemKind.MALFORMED_MESSAGE, broken, event.position)
-                rest = direction.framer.held
-                _, _, data = rest.partition(b"\n")  # past the start line that led nowhere
-                direction.framer, direction.lost, direction.held = Framer(), True, b""
-
-    def _find(self, direction: _Direction, data: bytes) -> bytes:
-        """The bytes from the next start line on; what can't be told yet is held."""
-        held = direction.held + data
-        start = START_LINE.search(held)
-        if start is not None:
-            direction.lost, direction.held, direction.searched = False, b"", 0
-            return held[start.start() :]
-        direction.searched += len(data)
-        direction.held = held[-4096:] if direction.searched <= MAX_RESYNC_BYTES else b""
+            for message in parsed:
+                yield from self._emit_message("TCP", endpoints, message, event.time_ns, event.position)
+            if framing_error:
+                self._add_problem(ProblemKind.MALFORMED_MESSAGE, framing_error, event.position)
+                unparsed = direction.framer.held
+                _, _, data = unparsed.partition(b"\n")  # continue after the start line that failed
+                direction.framer, direction.resynchronizing, direction.search_tail = Framer(), True, b""
+
+    def _find_start_line(self, direction: _Direction, data: bytes) -> bytes:
+        """Returns the bytes from the next start line on; keeps a tail that may contain part of one."""
+        searchable = direction.search_tail + data
+        start_line = START_LINE.search(searchable)
+        if start_line is not None:
+            direction.resynchronizing, direction.search_tail, direction.searched_bytes = False, b"", 0
+            return searchable[start_line.start() :]
+        direction.searched_bytes += len(data)
+        direction.search_tail = searchable[-4096:] if direction.searched_bytes <= MAX_RESYNC_BYTES else b""
         return b""
 
-    def _over(self, direction: _Direction, ends: Endpoints, event: StreamEnded) -> None:
-        left = direction.framer.held.strip(b"\r\n")
-        if not direction.lost and left:
-            what = f"{_way(ends)} ends ({event.how}) {len(left)} bytes into a message"
-            kind = ProblemKind.TCP_GAP if event.how == "the capture ends" else ProblemKind.MALFORMED_MESSAGE
-            self._tell(kind, what, event.position)
+    def _report_unfinished_message(
+        self, direction: _Direction, endpoints: Endpoints, event: StreamEnded
+    ) -> None:
+        unparsed = direction.framer.held.strip(b"\r\n")
+        if not direction.resynchronizing and unparsed:
+            detail = (
+                f"{_endpoints_text(endpoints)} ends ({event.reason}) {len(unparsed)} bytes into a message"
+            )
+            kind = (
+                ProblemKind.TCP_GAP if event.reason == "the capture ends" else ProblemKind.MALFORMED_MESSAGE
+            )
+            self._add_problem(kind, detail, event.position)
 
 
-def _way(ends: Endpoints) -> str:
-    (source, source_port), (target, target_port) = ends
+def _endpoints_text(endpoints: Endpoints) -> str:
+    (source, source_port), (target, target_port) = endpoints
     return f"{source}:{source_port} to {target}:{target_port}"
 
 
--- a/landingdeal/capture/reader.py
+++ b/landingdeal/capture/reader.py
@@ -50,8 +50,8 @@
             yield from heapq.merge(*streams, key=lambda captured: captured.time_ns)
 
 
-def _read_file(source: ByteSource, reading: ReadReport, strict: bool) -> Iterator[CapturedMessage]:
-    messages = MessageExtractor(reading.problems, source.name, strict)
+def _read_file(source: ByteSource, reading: ReadReport, strict_checksums: bool) -> Iterator[CapturedMessage]:
+    messages = MessageExtractor(reading.problems, source.name, strict_checksums)
     try:
         yield from messages.run(read_packets(source, reading.problems))
     except NotACapture as error:
--- a/landingdeal/capture/source.py
+++ b/landingdeal/capture/source.py
@@ -1,6 +1,6 @@
-"""The bytes of a capture: a file or standard input, plain, gzip or zstd, streamed.
+"""Streams the bytes of a capture from a file or standard input, decompressing gzip and zstd.
 
-Damage to the compression ends the bytes where it begins; what came before is still read.
+Damaged compressed data ends the stream at the damage; the bytes before it are still read.
 """
 
 from __future__ import annotations
@@ -13,50 +13,50 @@
 
 GZIP, ZSTD = b"\x1f\x8b", b"\x28\xb5\x2f\xfd"
 CHUNK_BYTES = 256 * 1024
-MAX_ZSTD_WINDOW_BYTES = 128 * 1024 * 1024  # of zstd: memory that a frame may ask for
+MAX_ZSTD_WINDOW_BYTES = 128 * 1024 * 1024  # memory that a zstd frame may require
 STDIN = "-"
 
 
 class ByteSource:
-    """`read` gives exactly what is asked for until the bytes end; `offset` counts what was given."""
+    """A byte stream: `read` returns short data only at the end; `offset` counts the bytes read."""
 
     def __init__(self, name: str, file: IO[bytes]) -> None:
         self.name, self.file = name, file
         self.offset = 0
-        self.damage = ""  # why the bytes ended early
-        self._held = b""
+        self.damage = ""  # why the stream ended early
+        self._buffered = b""
         head = file.read(4)
         if head[:2] == GZIP:
-            self._parts = self._gzip(head)
+            self._chunks = self._gzip(head)
         elif head == ZSTD:
-            self._parts = self._zstd(head)
+            self._chunks = self._zstd(head)
         else:
-            self._parts = self._plain(head)
+            self._chunks = self._plain(head)
 
     def read(self, size: int) -> bytes:
-        """Up to `size` bytes; fewer only at the end."""
-        held = self._held
-        if len(held) < size:
-            parts, have = [held], len(held)
-            for part in self._parts:
-                parts.append(part)
-                have += len(part)
-                if have >= size:
+        """Reads `size` bytes; fewer only at the end of the stream."""
+        buffered = self._buffered
+        if len(buffered) < size:
+            chunks, available = [buffered], len(buffered)
+            for chunk in self._chunks:
+                chunks.append(chunk)
+                available += len(chunk)
+                if available >= size:
                     break
-            held = b"".join(parts)
-        given, self._held = held[:size], held[size:]
-        self.offset += len(given)
-        return given
+            buffered = b"".join(chunks)
+        result, self._buffered = buffered[:size], buffered[size:]
+        self.offset += len(result)
+        return result
 
     def skip(self, size: int) -> int:
-        """Passes over that many bytes; how many there were."""
-        left = size
-        while left > 0:
-            got = len(self.read(min(left, CHUNK_BYTES)))
-            if not got:
+        """Skips `size` bytes and returns how many were available."""
+        remaining = size
+        while remaining > 0:
+            skipped = len(self.read(min(remaining, CHUNK_BYTES)))
+            if not skipped:
                 break
-            left -= got
-        return size - left
+            remaining -= skipped
+        return size - remaining
 
     def close(self) -> None:
         if self.name != STDIN:
@@ -69,20 +69,20 @@
 
     def _gzip(self, head: bytes) -> Iterator[bytes]:
         data: bytes = head
-        inflate = zlib.decompressobj(wbits=31)
+        decompressor = zlib.decompressobj(wbits=31)
         try:
             while data:
-                made = inflate.decompress(data, CHUNK_BYTES)
-                while made:
-                    yield made
-                    made = inflate.decompress(inflate.unconsumed_tail, CHUNK_BYTES)
-                if inflate.eof:  # another member may follow
-                    data = inflate.unused_data or self.file.read(CHUNK_BYTES)
+                output = decompressor.decompress(data, CHUNK_BYTES)
+                while output:
+                    yield output
+                    output = decompressor.decompress(decompressor.unconsumed_tail, CHUNK_BYTES)
+                if decompressor.eof:  # another member may follow
+                    data = decompressor.unused_data or self.file.read(CHUNK_BYTES)
                     if data:
-                        inflate = zlib.decompressobj(wbits=31)
+                        decompressor = zlib.decompressobj(wbits=31)
                     continue
                 data = self.file.read(CHUNK_BYTES)
-            if not inflate.eof:
+            if not decompressor.eof:
                 self.damage = "the gzip data ends early"
         except zlib.error as error:
             self.damage = f"the gzip data is damaged: {error}"
@@ -91,27 +91,27 @@
         import zstandard
 
         data: bytes = head
-        made = zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW_BYTES)
-        inflate = made.decompressobj()
+        factory = zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW_BYTES)
+        decompressor = factory.decompressobj()
         try:
             while data:
-                # small pieces in: what one piece unfolds to is held at once
-                for at in range(0, len(data), 4096):
-                    piece = data[at : at + 4096]
+                # small input pieces, because the whole output of a piece is in memory at once
+                for start in range(0, len(data), 4096):
+                    piece = data[start : start + 4096]
                     while piece:
-                        out = inflate.decompress(piece)
-                        if out:
-                            yield out
-                        piece = inflate.unused_data if inflate.eof else b""
-                        if inflate.eof:
-                            inflate = made.decompressobj()
+                        output = decompressor.decompress(piece)
+                        if output:
+                            yield output
+                        piece = decompressor.unused_data if decompressor.eof else b""
+                        if decompressor.eof:
+                            decompressor = factory.decompressobj()
                 data = self.file.read(CHUNK_BYTES)
         except zstandard.ZstdError as error:
             self.damage = f"the zstd data is damaged: {error}"
 
 
 def open_source(path: str) -> ByteSource:
-    """Raises OSError."""
+    """Opens a file, or standard input for `-`. Raises OSError."""
     if path == STDIN:
         return ByteSource(STDIN, sys.stdin.buffer)
     return ByteSource(path, Path(path).open("rb"))  # noqa: SIM115 (closed by `close`)
--- a/landingdeal/capture/streams.py
+++ b/landingdeal/capture/streams.py
@@ -1,8 +1,9 @@
-"""TCP segments put in order, as somebody who looks on sees them. Decisions and state, by the capture's clock.
+"""Reassembles TCP streams from captured segments, as a passive observer. No I/O; time is that of the packets.
 
-One direction of a connection is a `Stream`. What is missing is given up only when it can't come any more: the
-other side has acknowledged it and `GRACE_NS` have passed, or the window of segments is full. Of bytes that
-come twice and differ the first are kept, and the conflict is told.
+Each direction of a connection is a `TcpStream`. A gap is abandoned only when the missing bytes can no longer
+arrive: the receiver has acknowledged them and `ACKED_GAP_TIMEOUT_NS` have passed, or the buffer of
+out-of-order segments is full. If a retransmission differs from the first copy, the first copy is kept and
+an `OverlapConflict` is reported.
 """
 
 from __future__ import annotations
@@ -12,25 +13,23 @@
 
 from landingdeal.capture.layers import Address, TcpSegment
 
-MAX_STREAMS = 4096  # directions followed at once; the one idle longest goes first
-MAX_BUFFERED_SEGMENTS = 256  # segments of one direction that wait for one that is missing
+MAX_STREAMS = 4096  # directions tracked at once; the one idle longest is dropped first
+MAX_BUFFERED_SEGMENTS = 256  # out-of-order segments of one direction
 MAX_BUFFERED_BYTES = 1024 * 1024
-DELIVERED_TAIL_BYTES = 8 * 1024  # bytes given out that are kept, to tell a repeat from a conflict
-ACKED_GAP_TIMEOUT_NS = 200 * 10**6  # packets of a capture may lie in another order than they passed
-MIDSTREAM_START_DELAY_NS = (
-    100 * 10**6
-)  # at a direction whose start was not captured, for earlier segments that lie later
+DELIVERED_TAIL_BYTES = 8 * 1024  # delivered bytes kept to compare retransmissions with
+ACKED_GAP_TIMEOUT_NS = 200 * 10**6  # packets may be out of order in the capture
+MIDSTREAM_START_DELAY_NS = 100 * 10**6  # wait for earlier segments if the SYN was not captured
 HALF_SEQUENCE_SPACE = 1 << 31
 
 
-def sequence_distance(a: int, b: int) -> int:
-    """How far `a` lies after `b`, modulo 2^32; negative if before (RFC 793 3.3)."""
-    return (a - b + HALF_SEQUENCE_SPACE) % (1 << 32) - HALF_SEQUENCE_SPACE
+def sequence_distance(seq: int, base: int) -> int:
+    """How far `seq` is after `base`, modulo 2^32; negative if before (RFC 793, 3.3)."""
+    return (seq - base + HALF_SEQUENCE_SPACE) % (1 << 32) - HALF_SEQUENCE_SPACE
 
 
 @dataclass(frozen=True, slots=True)
 class StreamData:
-    """The next bytes of a direction, at the time of their segment. `gap`: so many before them are missing."""
+    """The next bytes of a direction, with the time of their segment; `gap` bytes before them are missing."""
 
     data: bytes
     time_ns: int
@@ -40,16 +39,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OverlapConflict:
-    at: int  # bytes from the start of what is known of the direction
-    size: int
+    """A retransmission whose bytes differ from the first copy."""
+
+    stream_offset: int  # from the first captured byte of the direction
+    differing_bytes: int
     position: tuple[int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """No more bytes of this direction follow: FIN, RST, or another connection on the same pair of ports."""
+    """The end of a direction: FIN, RST, a new connection on the same ports, or the end of tracking."""
 
-    how: str
+    reason: str
     time_ns: int
     position: tuple[int, int]
 
@@ -59,6 +60,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _BufferedSegment:
+    """A segment that has not been delivered, for instance because it is out of order."""
+
     seq: int
     data: bytes
     time_ns: int
@@ -66,30 +69,35 @@
 
 
 class TcpStream:
+    """Reassembly state of one direction of a connection."""
+
     __slots__ = (
-        "next", "ahead", "ahead_size", "tail", "started", "began_ns", "isn", "fin", "acked", "acked_ns",
-        "given",
+        "next_seq", "buffered", "buffered_bytes", "delivered_tail", "started", "first_seen_ns", "isn",
+        "fin_end", "acked_seq", "acked_ns", "delivered_bytes",
     )  # fmt: skip
 
     def __init__(self, now_ns: int) -> None:
-        self.next = 0  # the sequence number of the next byte to be given out
-        self.ahead: list[_BufferedSegment] = []
-        self.ahead_size = 0
-        self.tail = b""
-        self.started = False  # `next` is known
-        self.began_ns = now_ns
+        self.next_seq = 0  # sequence number of the next byte to deliver
+        self.buffered: list[_BufferedSegment] = []
+        self.buffered_bytes = 0
+        self.delivered_tail = b""
+        self.started = False  # `next_seq` is known
+        self.first_seen_ns = now_ns
         self.isn: int | None = None
-        self.fin: tuple[int, int, tuple[int, int]] | None = None  # seq after the last byte, time, place
-        self.acked: int | None = None  # the highest acknowledgement of the other side
+        self.fin_end: tuple[int, int, tuple[int, int]] | None = (
+            None  # sequence number after the last byte, time, position
+        )
+        self.acked_seq: int | None = None  # highest acknowledgement from the receiver
         self.acked_ns = 0
-        self.given = 0
+        self.delivered_bytes = 0
 
-    def start(self, seq: int) -> None:
-        self.next, self.started = seq, True
+    def start_at(self, seq: int) -> None:
+        """Sets the sequence number of the first byte."""
+        self.next_seq, self.started = seq, True
 
 
 class TcpReassembler:
-    """`feed` tells what one segment brings, for its own direction or for the one that it acknowledges."""
+    """`feed` returns the events of one segment, in its own direction and in the one that it acknowledges."""
 
     def __init__(self) -> None:
         self.streams: OrderedDict[tuple[Address, Address], TcpStream] = OrderedDict()
@@ -100,159 +108,184 @@
     ) -> list[tuple[tuple[Address, Address], StreamEvent]]:
         self.now_ns = max(self.now_ns, time_ns)
         key = segment.source, segment.target
-        out: list[tuple[tuple[Address, Address], StreamEvent]] = []
+        events: list[tuple[tuple[Address, Address], StreamEvent]] = []
         stream = self.streams.get(key)
-        if stream is not None and segment.syn and self._another(stream, segment):
-            out += [(key, event) for event in self._finish(stream, "another connection", time_ns, position)]
+        if stream is not None and segment.syn and self._is_new_connection(stream, segment):
+            events += [
+                (key, event) for event in self._finish(stream, "another connection", time_ns, position)
+            ]
             del self.streams[key]
             stream = None
         if stream is None:
             if segment.rst or not (segment.payload or segment.syn):
-                return out + self._acknowledge(segment)
+                return events + self._acknowledge(segment)
             stream = self.streams[key] = TcpStream(self.now_ns)
         self.streams.move_to_end(key)
-        out += [(key, event) for event in self._take(stream, segment, time_ns, position)]
-        if segment.rst or self._over(stream):
-            how = "RST" if segment.rst else "FIN"
-            out += [(key, event) for event in self._finish(stream, how, time_ns, position)]
+        events += [(key, event) for event in self._add_segment(stream, segment, time_ns, position)]
+        if segment.rst or self._is_finished(stream):
+            reason = "RST" if segment.rst else "FIN"
+            events += [(key, event) for event in self._finish(stream, reason, time_ns, position)]
             del self.streams[key]
-        out += self._acknowledge(segment)
-        while len(self.streams) > MAX_STREAMS:  # guards the memory against a capture of very many
-            old, idle = self.streams.popitem(last=False)
-            out += [(old, event) for event in self._finish(idle, "idle", self.now_ns, position)]
-        return out
+        events += self._acknowledge(segment)
+        while len(self.streams) > MAX_STREAMS:  # bounds memory for captures with very many connections
+            idle_key, idle_stream = self.streams.popitem(last=False)
+            events += [
+                (idle_key, event) for event in self._finish(idle_stream, "idle", self.now_ns, position)
+            ]
+        return events
 
     def end(self, position: tuple[int, int]) -> list[tuple[tuple[Address, Address], StreamEvent]]:
-        """The capture is over."""
-        out = []
+        """Ends all directions at the end of the capture."""
+        events = []
         for key, stream in self.streams.items():
-            out += [(key, event) for event in self._finish(stream, "the capture ends", self.now_ns, position)]
+            events += [
+                (key, event) for event in self._finish(stream, "the capture ends", self.now_ns, position)
+            ]
         self.streams.clear()
-        return out
+        return events
 
     # --- one direction ---
 
     @staticmethod
-    def _another(stream: TcpStream, segment: TcpSegment) -> bool:
-        """Whether a SYN begins a new connection on a pair of ports that was used before."""
+    def _is_new_connection(stream: TcpStream, segment: TcpSegment) -> bool:
+        """Whether a SYN opens a new connection on a pair of ports that was used before."""
         if stream.isn is not None:
             return segment.seq != stream.isn
         if not stream.started:
-            return False  # it lies late in the capture: what is held is of the same connection
-        # of a connection whose first bytes were given out already, if it lies right before them
-        first = (stream.next - stream.given) % (1 << 32)
-        return not 0 <= sequence_distance(first, segment.seq + 1) < MAX_BUFFERED_BYTES
+            return False  # the SYN is late in the capture; the buffered segments belong to it
+        # a late SYN of a connection that has delivered bytes lies right before the first of them
+        first_seq = (stream.next_seq - stream.delivered_bytes) % (1 << 32)
+        return not 0 <= sequence_distance(first_seq, segment.seq + 1) < MAX_BUFFERED_BYTES
 
-    def _take(
+    def _add_segment(
         self, stream: TcpStream, segment: TcpSegment, time_ns: int, position: tuple[int, int]
     ) -> list[StreamEvent]:
         seq = (segment.seq + segment.syn) % (1 << 32)
         if segment.syn and stream.isn is None:
             stream.isn = segment.seq
             if not stream.started:
-                stream.start(seq)
+                stream.start_at(seq)
         if segment.fin:
-            stream.fin = (seq + len(segment.payload)) % (1 << 32), time_ns, position
+            stream.fin_end = (seq + len(segment.payload)) % (1 << 32), time_ns, position
         if segment.payload:
-            stream.ahead.append(_BufferedSegment(seq, segment.payload, time_ns, position))
-            stream.ahead_size += len(segment.payload)
-        elif segment.fin and not stream.started and not stream.ahead:
-            stream.start(seq)
+            stream.buffered.append(_BufferedSegment(seq, segment.payload, time_ns, position))
+            stream.buffered_bytes += len(segment.payload)
+        elif segment.fin and not stream.started and not stream.buffered:
+            stream.start_at(seq)
         if not stream.started and (
-            self.now_ns - stream.began_ns >= MIDSTREAM_START_DELAY_NS
-            or len(stream.ahead) >= MAX_BUFFERED_SEGMENTS
+            self.now_ns - stream.first_seen_ns >= MIDSTREAM_START_DELAY_NS
+            or len(stream.buffered) >= MAX_BUFFERED_SEGMENTS
             or segment.rst
         ):
-            self._settle(stream)
-        return self._give(stream) if stream.started else []
+            self._start_at_earliest(stream)
+        return self._deliver(stream) if stream.started else []
 
     @staticmethod
-    def _settle(stream: TcpStream) -> None:
-        """Nobody saw it begin: the earliest segment counts as the start."""
-        if stream.ahead:
-            base = stream.ahead[0].seq
-            stream.start((base + min(sequence_distance(held.seq, base) for held in stream.ahead)) % (1 << 32))
-
-    def _give(self, stream: TcpStream) -> list[StreamEvent]:
-        """What is next, and then what follows it; over a gap where that is given up."""
-        out: list[StreamEvent] = []
+    def _start_at_earliest(stream: TcpStream) -> None:
+        """Starts a direction without a captured SYN at its earliest segment."""
+        if stream.buffered:
+            base = stream.buffered[0].seq
+            stream.start_at(
+                (base + min(sequence_distance(segment.seq, base) for segment in stream.buffered)) % (1 << 32)
+            )
+
+    def _deliver(self, stream: TcpStream) -> list[StreamEvent]:
+        """Delivers buffered segments in order, across a gap if it is abandoned."""
+        events: list[StreamEvent] = []
         while True:
-            progress = True
-            while progress:
-                progress = False
-                for held in sorted(stream.ahead, key=lambda one: sequence_distance(one.seq, stream.next)):
-                    if sequence_distance(held.seq, stream.next) > 0:
+            progressed = True
+            while progressed:
+                progressed = False
+                for segment in sorted(
+                    stream.buffered, key=lambda candidate: sequence_distance(candidate.seq, stream.next_seq)
+                ):
+                    if sequence_distance(segment.seq, stream.next_seq) > 0:
                         break
-                    stream.ahead.remove(held)
-                    stream.ahead_size -= len(held.data)
-                    self._one(stream, held, 0, out)
-                    progress = True
-            if not stream.ahead or not self._given_up(stream):
-                return out
-            first = min(stream.ahead, key=lambda one: sequence_distance(one.seq, stream.next))
-            missing = sequence_distance(first.seq, stream.next)
-            stream.next = first.seq
-            stream.given += missing
-            stream.tail = b""
-            stream.ahead.remove(first)
-            stream.ahead_size -= len(first.data)
-            self._one(stream, first, missing, out)
+                    stream.buffered.remove(segment)
+                    stream.buffered_bytes -= len(segment.data)
+                    self._deliver_segment(stream, segment, 0, events)
+                    progressed = True
+            if not stream.buffered or not self._gap_abandoned(stream):
+                return events
+            next_segment = min(
+                stream.buffered, key=lambda candidate: sequence_distance(candidate.seq, stream.next_seq)
+            )
+            gap = sequence_distance(next_segment.seq, stream.next_seq)
+            stream.next_seq = next_segment.seq
+            stream.delivered_bytes += gap
+            stream.delivered_tail = b""
+            stream.buffered.remove(next_segment)
+            stream.buffered_bytes -= len(next_segment.data)
+            self._deliver_segment(stream, next_segment, gap, events)
 
     @staticmethod
-    def _one(stream: TcpStream, held: _BufferedSegment, gap: int, out: list[StreamEvent]) -> None:
-        behind = sequence_distance(stream.next, held.seq)
-        repeated, fresh = held.data[:behind], held.data[behind:]
-        if repeated and stream.tail:
-            # only as much of it as is still kept
-            known = stream.tail[max(len(stream.tail) - behind, 0) :][: len(repeated) or None]
-            offset = max(behind - len(stream.tail), 0)
-            told = repeated[offset : offset + len(known)]
-            known = known[: len(told)]
-            if told != known:
-                out.append(OverlapConflict(max(stream.given - behind, 0), len(told), held.position))
-        if fresh:
-            stream.next = (stream.next + len(fresh)) % (1 << 32)
-            stream.given += len(fresh)
-            stream.tail = (stream.tail + fresh)[-DELIVERED_TAIL_BYTES:]
-            out.append(StreamData(fresh, held.time_ns, held.position, gap))
-
-    def _given_up(self, stream: TcpStream) -> bool:
-        """Whether what is missing before the segments held can't come any more."""
-        if len(stream.ahead) >= MAX_BUFFERED_SEGMENTS or stream.ahead_size >= MAX_BUFFERED_BYTES:
+    def _deliver_segment(
+        stream: TcpStream, segment: _BufferedSegment, gap: int, events: list[StreamEvent]
+    ) -> None:
+        overlap = sequence_distance(stream.next_seq, segment.seq)
+        repeated, new_data = segment.data[:overlap], segment.data[overlap:]
+        if repeated and stream.delivered_tail:
+            # compare only the part that is still in the delivered tail
+            delivered = stream.delivered_tail[max(len(stream.delivered_tail) - overlap, 0) :][
+                : len(repeated) or None
+            ]
+            offset = max(overlap - len(stream.delivered_tail), 0)
+            retransmitted = repeated[offset : offset + len(delivered)]
+            delivered = delivered[: len(retransmitted)]
+            if retransmitted != delivered:
+                events.append(
+                    OverlapConflict(
+                        max(stream.delivered_bytes - overlap, 0), len(retransmitted), segment.position
+                    )
+                )
+        if new_data:
+            stream.next_seq = (stream.next_seq + len(new_data)) % (1 << 32)
+            stream.delivered_bytes += len(new_data)
+            stream.delivered_tail = (stream.delivered_tail + new_data)[-DELIVERED_TAIL_BYTES:]
+            events.append(StreamData(new_data, segment.time_ns, segment.position, gap))
+
+    def _gap_abandoned(self, stream: TcpStream) -> bool:
+        """Whether the bytes missing before the buffered segments can no longer arrive."""
+        if len(stream.buffered) >= MAX_BUFFERED_SEGMENTS or stream.buffered_bytes >= MAX_BUFFERED_BYTES:
             return True
-        if stream.acked is None or sequence_distance(stream.acked, stream.next) <= 0:
+        if stream.acked_seq is None or sequence_distance(stream.acked_seq, stream.next_seq) <= 0:
             return False
         return self.now_ns - stream.acked_ns >= ACKED_GAP_TIMEOUT_NS
 
     @staticmethod
-    def _over(stream: TcpStream) -> bool:
+    def _is_finished(stream: TcpStream) -> bool:
         return (
-            stream.fin is not None and stream.started and sequence_distance(stream.fin[0], stream.next) <= 0
+            stream.fin_end is not None
+            and stream.started
+            and sequence_distance(stream.fin_end[0], stream.next_seq) <= 0
         )
 
     def _finish(
-        self, stream: TcpStream, how: str, time_ns: int, position: tuple[int, int]
+        self, stream: TcpStream, reason: str, time_ns: int, position: tuple[int, int]
     ) -> list[StreamEvent]:
-        """Gives out what is held, over any gap."""
+        """Delivers all buffered segments across any gaps and ends the direction."""
         if not stream.started:
-            self._settle(stream)
-        out: list[StreamEvent] = self._give(stream) if stream.started else []
-        while stream.ahead:
-            stream.acked, stream.acked_ns = (stream.next + 1) % (1 << 32), self.now_ns - ACKED_GAP_TIMEOUT_NS
-            out += self._give(stream)
-        out.append(StreamEnded(how, time_ns, position))
-        return out
+            self._start_at_earliest(stream)
+        events: list[StreamEvent] = self._deliver(stream) if stream.started else []
+        while stream.buffered:
+            stream.acked_seq, stream.acked_ns = (
+                (stream.next_seq + 1) % (1 << 32),
+                self.now_ns - ACKED_GAP_TIMEOUT_NS,
+            )
+            events += self._deliver(stream)
+        events.append(StreamEnded(reason, time_ns, position))
+        return events
 
     # --- acknowledgements ---
 
     def _acknowledge(self, segment: TcpSegment) -> list[tuple[tuple[Address, Address], StreamEvent]]:
-        """This segment acknowledges bytes of the other direction."""
+        """Applies the acknowledgement of a segment to the opposite direction."""
         key = segment.target, segment.source
         stream = self.streams.get(key)
         if stream is None or segment.ack < 0:
             return []
-        if stream.acked is None or sequence_distance(segment.ack, stream.acked) > 0:
-            stream.acked, stream.acked_ns = segment.ack, self.now_ns
-        if not stream.started and self.now_ns - stream.began_ns >= MIDSTREAM_START_DELAY_NS:
-            self._settle(stream)
-        return [(key, event) for event in self._give(stream)] if stream.started and stream.ahead else []
+        if stream.acked_seq is None or sequence_distance(segment.ack, stream.acked_seq) > 0:
+            stream.acked_seq, stream.acked_ns = segment.ack, self.now_ns
+        if not stream.started and self.now_ns - stream.first_seen_ns >= MIDSTREAM_START_DELAY_NS:
+            self._start_at_earliest(stream)
+        return [(key, event) for event in self._deliver(stream)] if stream.started and stream.buffered else []
--- a/tests/test_capture_reading.py
+++ b/tests/test_capture_reading.py
@@ -69,7 +69,7 @@
 A, B = ("10.0.0.1", 5060), ("10.0.0.2", 5070)
 A6, B6 = ("2001:db8::1", 5060), ("2001:db8::2", 5070)
 LONG = bool(os.environ.get("LANDINGDEAL_LONG"))  # every byte, and 20,000 mangled files: some minutes
-FORMS = [PcapEncoder(), PcapEncoder(nano=False), PcapngEncoder()]
+FORMS = [PcapEncoder(), PcapEncoder(nanosecond_resolution=False), PcapngEncoder()]
 MS = 10**6
 
 
@@ -288,11 +288,12 @@
             return decode_transport(IpPacket(ip.version, ip.source, ip.target, ip.protocol, data))
 
         good = struct.unpack_from(">H", ip.payload, at)[0]
-        assert with_sum(good).sum is ChecksumStatus.GOOD
-        assert with_sum(good ^ 0x1234).sum is ChecksumStatus.WRONG
-        assert with_sum(0).sum is ChecksumStatus.ABSENT
+        assert with_sum(good).checksum is ChecksumStatus.GOOD
+        assert with_sum(good ^ 0x1234).checksum is ChecksumStatus.WRONG
+        assert with_sum(0).checksum is ChecksumStatus.ABSENT
         assert (
-            with_sum(ones_complement_sum(pseudo_header(ip, len(ip.payload)))).sum is ChecksumStatus.OFFLOADED
+            with_sum(ones_complement_sum(pseudo_header(ip, len(ip.payload)))).checksum
+            is ChecksumStatus.OFFLOADED
         )
 
 
@@ -334,7 +335,7 @@
     order = data.draw(st.permutations(parts + data.draw(st.lists(st.sampled_from(parts), max_size=5))))
     (whole,) = together(order)
     made = decode_transport(whole)
-    assert made.payload == message(1, 4000) and made.sum is ChecksumStatus.GOOD and not whole.fragment
+    assert made.payload == message(1, 4000) and made.checksum is ChecksumStatus.GOOD and not whole.is_fragment
 
 
 def test_a_fragmented_datagram_has_the_time_of_its_last_needed_fragment() -> None:
@@ -346,7 +347,7 @@
 
 
 def changed(part: IpPacket, at: int, payload: bytes, more: bool = True) -> IpPacket:
-    return replace(part, payload=payload, at=at, more=more)
+    return replace(part, payload=payload, fragment_offset=at, more_fragments=more)
 
 
 @pytest.mark.parametrize("version", [4, 6])
@@ -354,16 +355,18 @@
     parts = parts_of(ends=(A, B) if version == 4 else (A6, B6))
     second = parts[1]
     for bad in (
-        changed(second, second.at, b"y" * len(second.payload)),  # the same place, other bytes
-        changed(second, second.at - 8, b"y" * 16),
+        changed(second, second.fragment_offset, b"y" * len(second.payload)),  # the same place, other bytes
+        changed(second, second.fragment_offset - 8, b"y" * 16),
         changed(second, 65528, b"y" * 16),  # beyond what an IP packet can hold
-        changed(second, second.at, second.payload[:-3]),  # not the last one, and no multiple of 8
+        changed(
+            second, second.fragment_offset, second.payload[:-3]
+        ),  # not the last one, and no multiple of 8
     ):
         fragments = FragmentReassembler()
         assert not together([parts[0], second, bad, *parts[2:], second], fragments)
-        assert [lost.overlap for lost in fragments.lost] == [True]
+        assert [lost.rejected for lost in fragments.failures] == [True]
     # the same bytes cut otherwise: IPv4 may be cut twice on its way, RFC 5722 refuses it for IPv6
-    half = changed(second, second.at + 8, second.payload[8:16])
+    half = changed(second, second.fragment_offset + 8, second.payload[8:16])
     assert len(together([parts[0], second, half, *parts[2:]])) == (1 if version == 4 else 0)
 
 
@@ -372,22 +375,22 @@
     tiny = [changed(whole, 0, whole.payload[:8]), changed(whole, 8, whole.payload[8:], False)]
     for parts in (tiny, tiny[::-1]):
         fragments = FragmentReassembler()
-        assert not together(parts, fragments) and fragments.lost[0].overlap
+        assert not together(parts, fragments) and fragments.failures[0].rejected
 
 
 def test_missing_fragments_time_out_by_the_clock_of_the_capture_and_bytes_are_bounded() -> None:
-    fragments = FragmentReassembler(bytes_most=20_000)
+    fragments = FragmentReassembler(max_buffered_bytes=20_000)
     first, *rest = parts_of()
     assert fragments.feed(first, 0, (1, 1)) is None
     assert fragments.feed(parts_of(ident=8)[0], 31 * 10**9, (2, 2)) is None
-    assert [(lost.overlap, lost.position) for lost in fragments.lost] == [(False, (1, 1))]
+    assert [(lost.rejected, lost.position) for lost in fragments.failures] == [(False, (1, 1))]
     for part in rest:  # what comes later begins anew, and is not whole
         assert fragments.feed(part, 32 * 10**9, (3, 3)) is None
     for ident in range(100, 200):
         fragments.feed(parts_of(ident=ident)[0], 33 * 10**9, (ident, ident))
-        assert fragments.held <= 20_000
+        assert fragments.buffered_bytes <= 20_000
     fragments.end()
-    assert fragments.held == 0 and not fragments.partials
+    assert fragments.buffered_bytes == 0 and not fragments.partials
 
 
 # --- streams ---
@@ -450,7 +453,7 @@
 def test_bytes_that_come_twice_and_differ_are_told_and_the_first_are_kept() -> None:
     start = (0.0, seg(b"", 9, flags=SYN))
     data, other = played(start, (1.0, seg(b"abcdef", 10)), (2.0, seg(b"abXXefgh", 10)))
-    assert data == b"abcdefgh" and isinstance(other[0], OverlapConflict) and other[0].at == 0
+    assert data == b"abcdefgh" and isinstance(other[0], OverlapConflict) and other[0].stream_offset == 0
     data, other = played(start, (1.0, seg(b"abcdef", 10)), (2.0, seg(b"abcdefgh", 10)))
     assert data == b"abcdefgh" and not [event for event in other if isinstance(event, OverlapConflict)]
 
@@ -461,12 +464,12 @@
         (3.0, seg(b"", 5000, flags=SYN)), (4.0, seg(b"new", 5001)), (5.0, seg(b"", 5004, flags=FIN)),
     )  # fmt: skip
     assert data == b"oldnew"
-    assert [e.how for e in other if isinstance(e, StreamEnded)] == ["another connection", "FIN"]
+    assert [e.reason for e in other if isinstance(e, StreamEnded)] == ["another connection", "FIN"]
 
 
 def test_reset_ends_a_connection_and_what_was_held_is_given() -> None:
     data, other = played((0.0, seg(b"", 9, flags=SYN)), (1.0, seg(b"b", 11)), (2.0, seg(b"", 12, flags=RST)))
-    assert data == b"b" and [e.how for e in other if isinstance(e, StreamEnded)] == ["RST"]
+    assert data == b"b" and [e.reason for e in other if isinstance(e, StreamEnded)] == ["RST"]
 
 
 def test_a_connection_open_before_the_capture_is_taken_up_at_the_next_start_line() -> None:
