--- a/landingdeal/capture/fragments.py
+++ b/landingdeal/capture/fragments.py
@@ -17,9 +17,7 @@
 MAX_PACKETS = 4096
 DUPLICATE_WINDOW_NS = 10**9  # duplicate fragments of a completed packet are ignored for this long
 MAX_IP_PACKET_BYTES = 65535
-MIN_TCP_FIRST_FRAGMENT_BYTES = (
-    16  # TCP header up to flags and checksum, required in a first fragment (RFC 3128)
-)
+MIN_TCP_FIRST_FRAGMENT_BYTES = 16  # up to flags and checksum, required in a first fragment (RFC 3128)
 TCP_FLAGS_FRAGMENT_OFFSET = 8  # a fragment at this offset overwrites the flags (RFC 3128)
 
 
@@ -65,6 +63,7 @@
         self.failures: list[FailedReassembly] = []
 
     def feed(self, fragment: IpPacket, time_ns: int, position: tuple[int, int]) -> IpPacket | None:
+        """Adds a fragment; returns the packet if it is complete now."""
         self.now_ns = max(self.now_ns, time_ns)
         self._expire()
         key = (
@@ -95,12 +94,14 @@
             partial.total_bytes = fragment.fragment_offset + len(fragment.payload)
         if fragment.fragment_offset == 0:
             partial.first_fragment = fragment
-        payload = self._assemble(partial)
-        if payload is not None:
+        reassembled = self._assemble(partial)
+        if reassembled is not None:
             assert partial.first_fragment is not None
             self._drop(key)
             self.completed[key] = self.now_ns
-            return replace(partial.first_fragment, payload=payload, fragment_offset=0, more_fragments=False)
+            return replace(
+                partial.first_fragment, payload=reassembled, fragment_offset=0, more_fragments=False
+            )
         self._enforce_limits()
         return None
 
--- a/landingdeal/capture/messages.py
+++ b/landingdeal/capture/messages.py
@@ -140,10 +140,10 @@
     ) -> Iterator[CapturedMessage]:
         decoded = decode_transport(ip)
         # the checksum of a truncated packet can't be verified
-        checksum = ChecksumStatus.ABSENT if ip.missing_bytes else decoded.checksum
-        if checksum is not ChecksumStatus.GOOD:
-            self.counts[f"checksum {checksum.value}"] += 1
-        if checksum is ChecksumStatus.WRONG and (self.strict_checksums or looks_like_sip(decoded.payload)):
+        status = ChecksumStatus.ABSENT if ip.missing_bytes else decoded.checksum
+        if status is not ChecksumStatus.GOOD:
+            self.counts[f"checksum {status.value}"] += 1
+        if status is ChecksumStatus.WRONG and (self.strict_checksums or looks_like_sip(decoded.payload)):
             self._add_problem(
                 ProblemKind.BAD_CHECKSUM, f"{decoded.source[0]} to {decoded.target[0]}", position
             )
--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -64,8 +64,8 @@
     sizes: list[int], total: int, open_size: int
 ) -> None:
     closed = [ClosedFile(n, size) for n, size in enumerate(sizes)]
-    bounds = RotationLimits(max_total_bytes=total)
-    gone = files_to_remove(bounds, closed, open_size)
+    limits = RotationLimits(max_total_bytes=total)
+    gone = files_to_remove(limits, closed, open_size)
     assert gone == list(range(len(gone)))
     left = open_size + sum(file.size for file in closed[len(gone) :])
     assert total == 0 and not gone or left <= total or len(gone) == len(closed)
@@ -74,24 +74,24 @@
 
 
 def test_a_file_is_full_by_size_or_by_time_and_never_before_its_first_record() -> None:
-    bounds = RotationLimits(max_file_bytes=100, max_file_ms=1000.0)
-    assert needs_new_file(bounds, 90, 0.0, 0.0, 11) and not needs_new_file(bounds, 90, 0.0, 0.0, 10)
-    assert needs_new_file(bounds, 1, 0.0, 1000.0, 1) and not needs_new_file(bounds, 0, 0.0, 9999.0, 999)
+    limits = RotationLimits(max_file_bytes=100, max_file_ms=1000.0)
+    assert needs_new_file(limits, 90, 0.0, 0.0, 11) and not needs_new_file(limits, 90, 0.0, 0.0, 10)
+    assert needs_new_file(limits, 1, 0.0, 1000.0, 1) and not needs_new_file(limits, 0, 0.0, 9999.0, 999)
     assert not needs_new_file(RotationLimits(0, 0.0), 10**12, 0.0, 10**12, 1)
 
 
 @pytest.mark.parametrize("compress", ["", "gzip", "zstd"])
 def test_a_sink_rotates_compresses_and_keeps_its_budget(compress: str, tmp_path: Path) -> None:
     path = tmp_path / "ours.pcapng"
-    sink = CaptureWriter(
+    writer = CaptureWriter(
         path, RotationLimits(max_file_bytes=40_000, max_file_ms=0.0, max_total_bytes=120_000), compress
     )
     for number in range(400):
-        sink.passed("UDP", A, B, options(number, 1000))
+        writer.passed("UDP", A, B, options(number, 1000))
         if number % 20 == 0:
-            assert wait_written(sink, soon())
-    sink.end(soon())
-    assert not sink.left_out and not sink.failed and sink.written == 400
+            assert wait_written(writer, soon())
+    writer.end(soon())
+    assert not writer.dropped_messages and not writer.failed_messages and writer.written_messages == 400
     until = soon()
     suffix = {"": ".pcapng", "gzip": ".pcapng.gz", "zstd": ".pcapng.zst"}[compress]
     while now_ms() < until and any(p != path and not p.name.endswith(suffix) for p in tmp_path.iterdir()):
@@ -110,23 +110,23 @@
 @pytest.mark.parametrize("name", ["ours.pcap", "ours.pcapng"])
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
 def test_what_is_written_reads_as_the_same_calls(name: str, transport: str, tmp_path: Path) -> None:
-    sink = CaptureWriter(tmp_path / name)
+    writer = CaptureWriter(tmp_path / name)
     made = generate_traffic(TrafficProfile(call_count=20, transport=transport, padding_bytes=3000))
     for sent in made:
-        sink.passed(transport, sent.source, sent.target, sent.message)
-    sink.closed(made[0].source, made[0].target, reset=True)
-    sink.end(soon())
+        writer.passed(transport, sent.source, sent.target, sent.message)
+    writer.closed(made[0].source, made[0].target, reset=True)
+    writer.end(soon())
     found, reading = calls_in(tmp_path / name)
     assert reading.complete and reading.counts["messages"] == len(made) and len(found) == 20
     assert {call.outcome for call in found} <= {Outcome.ESTABLISHED, Outcome.REFUSED, Outcome.CANCELLED}
 
 
 def test_comments_name_call_class_and_attempt(tmp_path: Path) -> None:
-    sink = CaptureWriter(tmp_path / "x.pcapng")
+    writer = CaptureWriter(tmp_path / "x.pcapng")
     invite = request("INVITE", "sip:1@net", ("via", "SIP/2.0/UDP a;branch=z9hG4bK1"), ("call-id", "ab-2"),
                      ("cseq", "1 INVITE"), ("subject", "test-report"))  # fmt: skip
-    sink.passed("UDP", A, B, invite)
-    sink.end(soon())
+    writer.passed("UDP", A, B, invite)
+    writer.end(soon())
     assert b"call ab class test-report attempt 2" in (tmp_path / "x.pcapng").read_bytes()
 
 
@@ -142,48 +142,48 @@
 
 
 def test_a_slow_disk_costs_messages_and_never_whoever_tells_of_them(tmp_path: Path) -> None:
-    sink = CaptureWriter(tmp_path / "x.pcap")
+    writer = CaptureWriter(tmp_path / "x.pcap")
     go = threading.Event()
 
     def slow(data: bytes) -> int:
         go.wait(PATIENCE_S)
         return len(data)
 
-    sink.file = Disk(slow)  # type: ignore[assignment]
+    writer.file = Disk(slow)  # type: ignore[assignment]
     began = time.monotonic()
     for number in range(MAX_QUEUED_MESSAGES + 2000):
-        sink.passed("UDP", A, B, options(number))
-    assert time.monotonic() - began < PATIENCE_S / 2 and sink.left_out >= 1000
+        writer.passed("UDP", A, B, options(number))
+    assert time.monotonic() - began < PATIENCE_S / 2 and writer.dropped_messages >= 1000
     go.set()
-    sink.end(soon())
-    assert sink.written + sink.left_out == MAX_QUEUED_MESSAGES + 2000
+    writer.end(soon())
+    assert writer.written_messages + writer.dropped_messages == MAX_QUEUED_MESSAGES + 2000
 
 
 def test_a_full_disk_leaves_out_what_it_refuses_and_goes_on_when_there_is_room(tmp_path: Path) -> None:
-    sink = CaptureWriter(tmp_path / "x.pcap")
+    writer = CaptureWriter(tmp_path / "x.pcap")
 
     def full_disk(data: bytes) -> int:
         raise OSError(28, "No space left on device")
 
-    sink.file = Disk(full_disk)  # type: ignore[assignment]
-    sink.passed("UDP", A, B, options(1))
+    writer.file = Disk(full_disk)  # type: ignore[assignment]
+    writer.passed("UDP", A, B, options(1))
     until = soon()
-    while not sink.failed and now_ms() < until:
+    while not writer.failed_messages and now_ms() < until:
         time.sleep(0.01)
-    assert sink.failed == 1
-    sink.shut_until_ms = float("-inf")  # a while later
-    sink.passed("UDP", A, B, options(2))
-    sink.end(soon())
+    assert writer.failed_messages == 1
+    writer.reopen_at_ms = float("-inf")  # a while later
+    writer.passed("UDP", A, B, options(2))
+    writer.end(soon())
     assert [seen.message.call_id for seen in read_messages([str(tmp_path / "x.pcap")], ReadReport())] == ["2"]
 
 
 def test_a_file_that_was_not_closed_reads_to_its_last_record(tmp_path: Path) -> None:
-    sink = CaptureWriter(tmp_path / "x.pcap")
+    writer = CaptureWriter(tmp_path / "x.pcap")
     for number in range(50):
-        sink.passed("TCP", A, B, options(number))
-    assert wait_written(sink, soon())
+        writer.passed("TCP", A, B, options(number))
+    assert wait_written(writer, soon())
     until = soon()
-    while sink.written < 50 and now_ms() < until:
+    while writer.written_messages < 50 and now_ms() < until:
         time.sleep(0.01)
     reading = ReadReport()
     assert len(list(read_messages([str(tmp_path / "x.pcap")], reading))) == 50 and reading.complete
@@ -269,7 +269,7 @@
     finally:
         log = stage.end()
     assert "3 messages taken up; passed over: 1 to another port" in log
-    assert "messages written, 0 left out, 0 not taken by the disk" in log
+    assert "messages written, 0 dropped (queue full), 0 not written (disk error)" in log
 
 
 def test_nothing_to_play_ends_the_start_with_one_line(tmp_path: Path) -> None:
