--- a/landingdeal/capture/encode.py
+++ b/landingdeal/capture/encode.py
@@ -50,9 +50,11 @@
         self.magic = MAGIC_NANOSECONDS if nanosecond_resolution else MAGIC_MICROSECONDS
 
     def file_header(self) -> bytes:
+        """The bytes at the start of a file."""
         return struct.pack("<IHHiIII", self.magic, 2, 4, 0, 0, SNAPLEN, LINKTYPE_ETHERNET)
 
     def packet_record(self, time_ns: int, frame: bytes, comment: str = "") -> bytes:
+        """The record of one packet."""
         seconds, nanoseconds = divmod(time_ns, 10**9)
         return (
             struct.pack("<IIII", seconds, nanoseconds // self.ns_per_fraction, len(frame), len(frame)) + frame
@@ -65,6 +67,7 @@
     suffix = ".pcapng"
 
     def file_header(self) -> bytes:
+        """The bytes at the start of a file."""
         section = struct.pack("<IHHq", BYTE_ORDER_MAGIC, 1, 0, -1)
         resolution = struct.pack("<HHB3xHH", OPT_TSRESOL, 1, 9, 0, 0)
         interface = struct.pack("<HHI", LINKTYPE_ETHERNET, 0, SNAPLEN) + resolution
@@ -73,6 +76,7 @@
         )
 
     def packet_record(self, time_ns: int, frame: bytes, comment: str = "") -> bytes:
+        """The record of one packet."""
         body = struct.pack("<IIIII", 0, time_ns >> 32, time_ns & 0xFFFFFFFF, len(frame), len(frame))
         body += _pad(frame)
         if comment:
@@ -128,18 +132,12 @@
         return [ethernet_header + ip_packet(ip)]
     frames = []
     for offset in range(0, len(ip.payload), max_fragment_bytes):
-        payload = ip.payload[offset : offset + max_fragment_bytes]
+        chunk = ip.payload[offset : offset + max_fragment_bytes]
         more_fragments = offset + max_fragment_bytes < len(ip.payload)
         fragment = IpPacket(
-            ip.version,
-            ip.source,
-            ip.target,
-            ip.protocol,
-            payload,
-            identification=identification,
-            fragment_offset=offset,
-            more_fragments=more_fragments,
-        )
+            ip.version, ip.source, ip.target, ip.protocol, chunk, identification=identification,
+            fragment_offset=offset, more_fragments=more_fragments,
+        )  # fmt: skip
         frames.append(ethernet_header + ip_packet(fragment))
     return frames
 
@@ -153,11 +151,12 @@
     checksum = ~ones_complement_sum(pseudo_header(unsummed, len(data)) + data) & 0xFFFF
     if protocol == IPPROTO_UDP and checksum == 0:
         checksum = 0xFFFF
-    whole = data[:checksum_offset] + struct.pack(">H", checksum) + data[checksum_offset + 2 :]
-    return IpPacket(version, source[0], target[0], protocol, whole)
+    summed_data = data[:checksum_offset] + struct.pack(">H", checksum) + data[checksum_offset + 2 :]
+    return IpPacket(version, source[0], target[0], protocol, summed_data)
 
 
 def udp_packet(source: Address, target: Address, payload: bytes) -> IpPacket:
+    """An IP packet with one UDP datagram."""
     data = struct.pack(">HHHH", source[1], target[1], 8 + len(payload), 0) + payload
     return _with_checksum(IPPROTO_UDP, source, target, data, 6)
 
@@ -165,6 +164,7 @@
 def tcp_packet(
     source: Address, target: Address, seq: int, ack: int, flags: int, payload: bytes = b""
 ) -> IpPacket:
+    """An IP packet with one TCP segment."""
     data = struct.pack(">HHIIBBHHH", source[1], target[1], seq, ack, 5 << 4, flags, 65535, 0, 0) + payload
     return _with_checksum(IPPROTO_TCP, source, target, data, 16)
 
@@ -212,7 +212,7 @@
                 frames += self._fin_frames(idle)
             connection = _Connection({source: 1000, target: 5000})
             frames += self._handshake_frames(connection, source, target)
-        self.connections[key] = connection  # moved to the end: closed last
+        self.connections[key] = connection  # most recently used: closed last
         next_seqs = connection.next_seqs
         for offset in range(0, len(payload), MAX_SEGMENT_BYTES):
             chunk = payload[offset : offset + MAX_SEGMENT_BYTES]
--- a/landingdeal/capture/fragments.py
+++ b/landingdeal/capture/fragments.py
@@ -1,4 +1,4 @@
-"""Reassembles IP fragments (RFC 791, RFC 815, RFC 8200). No I/O; time is that of the captured packets.
+"""Reassembles IP fragments (RFC 791, RFC 8200). No I/O; time is that of the captured packets.
 
 Packets are rejected for overlapping IPv6 fragments (RFC 5722), IPv4 fragments whose overlap differs, a TCP
 fragment that begins inside the TCP header or a first one that does not contain it (RFC 3128), and fragments
--- a/landingdeal/capture/reader.py
+++ b/landingdeal/capture/reader.py
@@ -32,7 +32,7 @@
 
 
 def read_messages(
-    paths: Sequence[str], reading: ReadReport, strict_checksums: bool = False
+    paths: Sequence[str], report: ReadReport, strict_checksums: bool = False
 ) -> Iterator[CapturedMessage]:
     """Yields the messages of all files in time order.
 
@@ -43,34 +43,34 @@
         for path in paths:
             source = open_source(path)
             stack.callback(source.close)
-            streams.append(_sorted_by_time(_read_file(source, reading, strict_checksums)))
+            streams.append(_sorted_by_time(_read_file(source, report, strict_checksums)))
         if len(streams) == 1:
             yield from streams[0]
         else:
             yield from heapq.merge(*streams, key=lambda captured: captured.time_ns)
 
 
-def _read_file(source: ByteSource, reading: ReadReport, strict_checksums: bool) -> Iterator[CapturedMessage]:
-    messages = MessageExtractor(reading.problems, source.name, strict_checksums)
+def _read_file(source: ByteSource, report: ReadReport, strict_checksums: bool) -> Iterator[CapturedMessage]:
+    extractor = MessageExtractor(report.problems, source.name, strict_checksums)
     try:
-        yield from messages.run(read_packets(source, reading.problems))
+        yield from extractor.run(read_packets(source, report.problems))
     except NotACapture as error:
-        reading.problems.add(Problem(ProblemKind.NOT_A_CAPTURE, str(error), 0, 0, source.name))
+        report.problems.add(Problem(ProblemKind.NOT_A_CAPTURE, str(error), 0, 0, source.name))
     finally:
-        reading.counts.update(messages.counts)
-        if messages.counts["packets"]:
-            first = min(reading.first_ns or messages.first_ns, messages.first_ns)
-            reading.first_ns, reading.last_ns = first, max(reading.last_ns, messages.last_ns)
+        report.counts.update(extractor.counts)
+        if extractor.counts["packets"]:
+            first_ns = min(report.first_ns or extractor.first_ns, extractor.first_ns)
+            report.first_ns, report.last_ns = first_ns, max(report.last_ns, extractor.last_ns)
 
 
 def _sorted_by_time(messages: Iterator[CapturedMessage]) -> Iterator[CapturedMessage]:
     """Sorts messages by time, provided that they are at most `REORDER_WINDOW_NS` out of order."""
     buffered: list[tuple[int, int, CapturedMessage]] = []
-    newest, number = 0, 0
+    latest_ns, sequence = 0, 0
     for captured in messages:
-        newest, number = max(newest, captured.time_ns), number + 1
-        heapq.heappush(buffered, (captured.time_ns, number, captured))
-        while buffered and buffered[0][0] <= newest - REORDER_WINDOW_NS:
+        latest_ns, sequence = max(latest_ns, captured.time_ns), sequence + 1
+        heapq.heappush(buffered, (captured.time_ns, sequence, captured))
+        while buffered and buffered[0][0] <= latest_ns - REORDER_WINDOW_NS:
             yield heapq.heappop(buffered)[2]
     while buffered:
         yield heapq.heappop(buffered)[2]
--- a/landingdeal/capture/sample.py
+++ b/landingdeal/capture/sample.py
@@ -137,7 +137,7 @@
     return messages
 
 
-def to_packets(messages: Sequence[SampleMessage], end: bool = True) -> list[tuple[int, bytes]]:
+def to_packets(messages: Sequence[SampleMessage], close_connections: bool = True) -> list[tuple[int, bytes]]:
     """Returns the messages as timed Ethernet frames; TCP messages get complete connections."""
     builder, timed_frames = PacketBuilder(), list[tuple[int, bytes]]()
     for sent in messages:
@@ -145,10 +145,11 @@
         # packets of one message are a microsecond apart
         frames = to_frames(sent.source, sent.target, encode(sent.message))
         timed_frames += [(sent.time_ns + index * 1000, frame) for index, frame in enumerate(frames)]
-    if end and messages:
+    if close_connections and messages:
         timed_frames += [(messages[-1].time_ns + 10**6, frame) for frame in builder.close_all()]
     return timed_frames
 
 
 def encode_capture(frames: Sequence[tuple[int, bytes]], encoder: CaptureEncoder) -> bytes:
+    """Returns a capture file of timed frames."""
     return encoder.file_header() + b"".join(encoder.packet_record(at, frame) for at, frame in frames)
