--- a/landingdeal/capture/reader.py
+++ b/landingdeal/capture/reader.py
@@ -59,8 +59,8 @@
     finally:
         report.counts.update(extractor.counts)
         if extractor.counts["packets"]:
-            first_ns = min(report.first_ns or extractor.first_ns, extractor.first_ns)
-            report.first_ns, report.last_ns = first_ns, max(report.last_ns, extractor.last_ns)
+            earliest_ns = min(report.first_ns or extractor.first_ns, extractor.first_ns)
+            report.first_ns, report.last_ns = earliest_ns, max(report.last_ns, extractor.last_ns)
 
 
 def _sorted_by_time(messages: Iterator[CapturedMessage]) -> Iterator[CapturedMessage]:
