--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -1,4 +1,4 @@
-"""Our exchanges written to captures: by the running front, rotated, with a disk that is slow or full."""
+"""Writing captures: rotation, slow and full disks, repair, settings, and the running SIP front."""
 
 from __future__ import annotations
 
@@ -39,16 +39,18 @@
 A, B = ("10.0.0.1", 5060), ("10.0.0.2", 5070)
 
 
-def soon() -> float:
+def deadline() -> float:
     return now_ms() + PATIENCE_S * 1000
 
 
 def calls_in(*paths: Path) -> tuple[list[CallRecord], ReadReport]:
-    reading, calls = ReadReport(), CallTracker()
-    found = [
-        call for seen in read_messages([str(path) for path in paths], reading) for call in calls.feed(seen)
+    report, tracker = ReadReport(), CallTracker()
+    calls_found = [
+        call
+        for captured in read_messages([str(path) for path in paths], report)
+        for call in tracker.feed(captured)
     ]
-    return [*found, *calls.end()], reading
+    return [*calls_found, *tracker.end()], report
 
 
 def options(number: int, size: int = 0) -> Message:
@@ -60,20 +62,20 @@
 
 
 @given(st.lists(st.integers(1, 400), max_size=40), st.integers(0, 1000), st.integers(0, 600))
-def test_files_stay_within_their_budget_and_the_oldest_go(
-    sizes: list[int], total: int, open_size: int
+def test_oldest_files_are_removed_to_stay_within_the_size_limit(
+    sizes: list[int], max_total: int, open_size: int
 ) -> None:
     closed = [ClosedFile(n, size) for n, size in enumerate(sizes)]
-    limits = RotationLimits(max_total_bytes=total)
-    gone = files_to_remove(limits, closed, open_size)
-    assert gone == list(range(len(gone)))
-    left = open_size + sum(file.size for file in closed[len(gone) :])
-    assert total == 0 and not gone or left <= total or len(gone) == len(closed)
-    if gone and total:
-        assert left + closed[len(gone) - 1].size > total, "one too many went"
+    limits = RotationLimits(max_total_bytes=max_total)
+    removed = files_to_remove(limits, closed, open_size)
+    assert removed == list(range(len(removed)))
+    remaining = open_size + sum(file.size for file in closed[len(removed) :])
+    assert max_total == 0 and not removed or remaining <= max_total or len(removed) == len(closed)
+    if removed and max_total:
+        assert remaining + closed[len(removed) - 1].size > max_total, "one file too many was removed"
 
 
-def test_a_file_is_full_by_size_or_by_time_and_never_before_its_first_record() -> None:
+def test_files_rotate_by_size_or_age_but_never_before_their_first_record() -> None:
     limits = RotationLimits(max_file_bytes=100, max_file_ms=1000.0)
     assert needs_new_file(limits, 90, 0.0, 0.0, 11) and not needs_new_file(limits, 90, 0.0, 0.0, 10)
     assert needs_new_file(limits, 1, 0.0, 1000.0, 1) and not needs_new_file(limits, 0, 0.0, 9999.0, 999)
@@ -81,57 +83,62 @@
 
 
 @pytest.mark.parametrize("compress", ["", "gzip", "zstd"])
-def test_a_sink_rotates_compresses_and_keeps_its_budget(compress: str, tmp_path: Path) -> None:
-    path = tmp_path / "ours.pcapng"
+def test_writer_rotates_compresses_and_stays_within_its_size_limit(compress: str, tmp_path: Path) -> None:
+    open_path = tmp_path / "ours.pcapng"
     writer = CaptureWriter(
-        path, RotationLimits(max_file_bytes=40_000, max_file_ms=0.0, max_total_bytes=120_000), compress
+        open_path, RotationLimits(max_file_bytes=40_000, max_file_ms=0.0, max_total_bytes=120_000), compress
     )
     for number in range(400):
         writer.passed("UDP", A, B, options(number, 1000))
         if number % 20 == 0:
-            assert wait_written(writer, soon())
-    writer.end(soon())
+            assert wait_written(writer, deadline())
+    writer.end(deadline())
     assert not writer.dropped_messages and not writer.failed_messages and writer.written_messages == 400
-    until = soon()
+    deadline_ms = deadline()
     suffix = {"": ".pcapng", "gzip": ".pcapng.gz", "zstd": ".pcapng.zst"}[compress]
-    while now_ms() < until and any(p != path and not p.name.endswith(suffix) for p in tmp_path.iterdir()):
+    while now_ms() < deadline_ms and any(
+        path != open_path and not path.name.endswith(suffix) for path in tmp_path.iterdir()
+    ):
         time.sleep(0.01)
-    files = sorted(one for one in tmp_path.iterdir() if one != path)
-    assert files and all(one.name.endswith(suffix) for one in files)
-    assert sum(one.stat().st_size for one in tmp_path.iterdir()) <= 120_000
-    reading = ReadReport()
-    ids = [int(seen.message.call_id) for seen in read_messages([*map(str, files), str(path)], reading)]
-    assert ids == list(range(min(ids), 400)) and reading.complete and 50 < len(ids) < 120
+    files = sorted(path for path in tmp_path.iterdir() if path != open_path)
+    assert files and all(path.name.endswith(suffix) for path in files)
+    assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= 120_000
+    report = ReadReport()
+    ids = [
+        int(captured.message.call_id)
+        for captured in read_messages([*map(str, files), str(open_path)], report)
+    ]
+    assert ids == list(range(min(ids), 400)) and report.complete and 50 < len(ids) < 120
 
 
-# --- the sink ---
+# --- the writer ---
 
 
 @pytest.mark.parametrize("name", ["ours.pcap", "ours.pcapng"])
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
-def test_what_is_written_reads_as_the_same_calls(name: str, transport: str, tmp_path: Path) -> None:
+def test_written_messages_read_back_as_the_same_calls(name: str, transport: str, tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path / name)
-    made = generate_traffic(TrafficProfile(call_count=20, transport=transport, padding_bytes=3000))
-    for sent in made:
+    messages = generate_traffic(TrafficProfile(call_count=20, transport=transport, padding_bytes=3000))
+    for sent in messages:
         writer.passed(transport, sent.source, sent.target, sent.message)
-    writer.closed(made[0].source, made[0].target, reset=True)
-    writer.end(soon())
-    found, reading = calls_in(tmp_path / name)
-    assert reading.complete and reading.counts["messages"] == len(made) and len(found) == 20
-    assert {call.outcome for call in found} <= {Outcome.ESTABLISHED, Outcome.REFUSED, Outcome.CANCELLED}
+    writer.closed(messages[0].source, messages[0].target, reset=True)
+    writer.end(deadline())
+    calls, report = calls_in(tmp_path / name)
+    assert report.complete and report.counts["messages"] == len(messages) and len(calls) == 20
+    assert {call.outcome for call in calls} <= {Outcome.ESTABLISHED, Outcome.REFUSED, Outcome.CANCELLED}
 
 
-def test_comments_name_call_class_and_attempt(tmp_path: Path) -> None:
+def test_packet_comments_name_call_class_and_attempt(tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path / "x.pcapng")
     invite = request("INVITE", "sip:1@net", ("via", "SIP/2.0/UDP a;branch=z9hG4bK1"), ("call-id", "ab-2"),
                      ("cseq", "1 INVITE"), ("subject", "test-report"))  # fmt: skip
     writer.passed("UDP", A, B, invite)
-    writer.end(soon())
+    writer.end(deadline())
     assert b"call ab class test-report attempt 2" in (tmp_path / "x.pcapng").read_bytes()
 
 
-class Disk:
-    """Stands in for the file of a sink: slow or full, as told."""
+class FakeFile:
+    """Replaces the file of a writer; `write` may be slow or fail."""
 
     def __init__(self, write: Callable[[bytes], int]) -> None:
         self.write = write
@@ -141,70 +148,72 @@
     def close(self) -> None: ...
 
 
-def test_a_slow_disk_costs_messages_and_never_whoever_tells_of_them(tmp_path: Path) -> None:
+def test_slow_disk_drops_messages_without_blocking_callers(tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path / "x.pcap")
-    go = threading.Event()
+    released = threading.Event()
 
-    def slow(data: bytes) -> int:
-        go.wait(PATIENCE_S)
+    def slow_write(data: bytes) -> int:
+        released.wait(PATIENCE_S)
         return len(data)
 
-    writer.file = Disk(slow)  # type: ignore[assignment]
-    began = time.monotonic()
+    writer.file = FakeFile(slow_write)  # type: ignore[assignment]
+    started_s = time.monotonic()
     for number in range(MAX_QUEUED_MESSAGES + 2000):
         writer.passed("UDP", A, B, options(number))
-    assert time.monotonic() - began < PATIENCE_S / 2 and writer.dropped_messages >= 1000
-    go.set()
-    writer.end(soon())
+    assert time.monotonic() - started_s < PATIENCE_S / 2 and writer.dropped_messages >= 1000
+    released.set()
+    writer.end(deadline())
     assert writer.written_messages + writer.dropped_messages == MAX_QUEUED_MESSAGES + 2000
 
 
-def test_a_full_disk_leaves_out_what_it_refuses_and_goes_on_when_there_is_room(tmp_path: Path) -> None:
+def test_full_disk_drops_messages_and_writing_resumes_later(tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path / "x.pcap")
 
-    def full_disk(data: bytes) -> int:
+    def failing_write(data: bytes) -> int:
         raise OSError(28, "No space left on device")
 
-    writer.file = Disk(full_disk)  # type: ignore[assignment]
+    writer.file = FakeFile(failing_write)  # type: ignore[assignment]
     writer.passed("UDP", A, B, options(1))
-    until = soon()
-    while not writer.failed_messages and now_ms() < until:
+    deadline_ms = deadline()
+    while not writer.failed_messages and now_ms() < deadline_ms:
         time.sleep(0.01)
     assert writer.failed_messages == 1
-    writer.reopen_at_ms = float("-inf")  # a while later
+    writer.reopen_at_ms = float("-inf")  # the reopen delay has passed
     writer.passed("UDP", A, B, options(2))
-    writer.end(soon())
-    assert [seen.message.call_id for seen in read_messages([str(tmp_path / "x.pcap")], ReadReport())] == ["2"]
+    writer.end(deadline())
+    assert [
+        captured.message.call_id for captured in read_messages([str(tmp_path / "x.pcap")], ReadReport())
+    ] == ["2"]
 
 
-def test_a_file_that_was_not_closed_reads_to_its_last_record(tmp_path: Path) -> None:
+def test_unclosed_file_is_readable_to_its_last_record(tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path / "x.pcap")
     for number in range(50):
         writer.passed("TCP", A, B, options(number))
-    assert wait_written(writer, soon())
-    until = soon()
-    while writer.written_messages < 50 and now_ms() < until:
+    assert wait_written(writer, deadline())
+    deadline_ms = deadline()
+    while writer.written_messages < 50 and now_ms() < deadline_ms:
         time.sleep(0.01)
-    reading = ReadReport()
-    assert len(list(read_messages([str(tmp_path / "x.pcap")], reading))) == 50 and reading.complete
+    report = ReadReport()
+    assert len(list(read_messages([str(tmp_path / "x.pcap")], report))) == 50 and report.complete
 
 
 # --- repair ---
 
 
-@pytest.mark.parametrize("form", [PcapEncoder(), PcapngEncoder()], ids=["pcap", "pcapng"])
-def test_a_damaged_tail_is_cut_off(form: PcapEncoder, tmp_path: Path) -> None:
-    made = to_packets(generate_traffic(TrafficProfile(call_count=5)))
-    whole = encode_capture(made, form)
+@pytest.mark.parametrize("encoder", [PcapEncoder(), PcapngEncoder()], ids=["pcap", "pcapng"])
+def test_repair_removes_a_damaged_tail(encoder: PcapEncoder, tmp_path: Path) -> None:
+    timed_frames = to_packets(generate_traffic(TrafficProfile(call_count=5)))
+    whole = encode_capture(timed_frames, encoder)
     path, out = tmp_path / "in", tmp_path / "out"
-    impossible = struct.pack("<IIII", 6, 2**31, 2**31, 2**31)
-    for damaged in (whole[:-7], whole + b"\x01\x02\x03", whole + impossible):
+    impossible_record = struct.pack("<IIII", 6, 2**31, 2**31, 2**31)
+    for damaged in (whole[:-7], whole + b"\x01\x02\x03", whole + impossible_record):
         path.write_bytes(damaged)
-        done = repair(path, out)
-        assert done.reason and done.removed_bytes == len(damaged) - done.kept_bytes > 0
-        assert calls_in(out)[1].complete and done.packet_count in (len(made), len(made) - 1)
-        again = repair(out, tmp_path / "again")
-        assert not again.reason and (tmp_path / "again").read_bytes() == out.read_bytes()
+        result = repair(path, out)
+        assert result.reason and result.removed_bytes == len(damaged) - result.kept_bytes > 0
+        assert calls_in(out)[1].complete and result.packet_count in (len(timed_frames), len(timed_frames) - 1)
+        repeated = repair(out, tmp_path / "again")
+        assert not repeated.reason and (tmp_path / "again").read_bytes() == out.read_bytes()
     path.write_bytes(gzip.compress(whole))
     with pytest.raises(ConfigError, match="unpack it first"):
         repair(path, out)
@@ -214,57 +223,65 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "why"),
+    ("raw", "key"),
     [
         ({"reed": "x"}, "reed"), ({"write": 5}, "write"), ({"compress": "lzma"}, "compress"),
         ({"file_mb": -1}, "file_mb"), ({"file_mb": 100, "total_mb": 50}, "total_mb"), ({"read": [1]}, "read"),
     ],
 )  # fmt: skip
-def test_settings_are_refused_with_section_key_and_reason(raw: dict[str, object], why: str) -> None:
-    with pytest.raises(ConfigError, match=f"sip.capture.*{why}"):
+def test_invalid_settings_are_rejected_with_section_key_and_reason(raw: dict[str, object], key: str) -> None:
+    with pytest.raises(ConfigError, match=f"sip.capture.*{key}"):
         read_capture(raw)
 
 
 # --- the running front ---
 
 
-@pytest.mark.parametrize("kind", ["UDP", "TCP"])
-def test_a_call_played_from_a_capture_is_answered_into_another(kind: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("transport", ["UDP", "TCP"])
+def test_call_played_from_a_capture_is_written_to_another(transport: str, tmp_path: Path) -> None:
     port = free_port()
     caller, listen = ("10.9.9.9", 5099), ("10.1.1.1", port)
 
-    def make(method: str, to_tag: str, number: int = 1, body: bytes = b"") -> Message:
-        via = ("via", f"SIP/2.0/{kind} 10.9.9.9:5099;branch=z9hG4bK{method}")
+    def build_request(method: str, to_tag: str, number: int = 1, body: bytes = b"") -> Message:
+        via = ("via", f"SIP/2.0/{transport} 10.9.9.9:5099;branch=z9hG4bK{method}")
         return request(
             method, f"sip:1000@10.1.1.1:{port}", via, ("from", "<sip:c@10.9.9.9>;tag=c"),
             ("to", f"<sip:1000@10.1.1.1>{to_tag}"), ("call-id", "recorded"), ("cseq", f"{number} {method}"),
             ("contact", "<sip:c@10.9.9.9:5099>"), body=body,
         )  # fmt: skip
 
-    made = [
-        SampleMessage(START_NS, kind, caller, listen, make("INVITE", "", body=BODY)),
+    messages = [
+        SampleMessage(START_NS, transport, caller, listen, build_request("INVITE", "", body=BODY)),
         SampleMessage(START_NS + 20_000_000, "UDP", caller, ("10.1.1.1", 9), options(1)),
-        SampleMessage(START_NS + 1_000_000_000, kind, caller, listen, make("ACK", ";tag=recorded")),
-        SampleMessage(START_NS + 1_100_000_000, kind, caller, listen, make("BYE", ";tag=recorded", 2)),
+        SampleMessage(
+            START_NS + 1_000_000_000, transport, caller, listen, build_request("ACK", ";tag=recorded")
+        ),
+        SampleMessage(
+            START_NS + 1_100_000_000, transport, caller, listen, build_request("BYE", ";tag=recorded", 2)
+        ),
     ]
-    (tmp_path / "in.pcap").write_bytes(encode_capture(to_packets(made), PcapEncoder()))
+    (tmp_path / "in.pcap").write_bytes(encode_capture(to_packets(messages), PcapEncoder()))
     extra = f'[sip.capture]\nread = "{tmp_path}/in.pcap"\nwrite = "{tmp_path}/out.pcapng"\n'
     stage = SipStage(tmp_path, "udp", extra, port=port)
     try:
         play(stage, "hub1 expect INVITE a\nhub1 send 200 a\nhub1 expect ACK a\n")
         play(stage, "hub1 expect BYE a\nhub1 send 200 a of=BYE\n")
-        until = soon()
-        found: list[CallRecord] = []
-        while now_ms() < until:
-            found = calls_in(tmp_path / "out.pcapng")[0]
-            if len(found) == 2 and all(call.bye_response_ns >= 0 for call in found):
+        deadline_ms = deadline()
+        calls: list[CallRecord] = []
+        while now_ms() < deadline_ms:
+            calls = calls_in(tmp_path / "out.pcapng")[0]
+            if len(calls) == 2 and all(call.bye_response_ns >= 0 for call in calls):
                 break
             time.sleep(0.05)
-        ours = next(call for call in found if call.call_id == "recorded")
-        hubs = next(call for call in found if call.call_id != "recorded")
-        assert ours.outcome is hubs.outcome is Outcome.ESTABLISHED
-        assert ours.source == caller and ours.transport == kind and hubs.transport == "UDP"
-        assert ours.released_by == hubs.released_by and ours.bye_response_ns >= ours.bye_ns
+        caller_leg = next(call for call in calls if call.call_id == "recorded")
+        hub_leg = next(call for call in calls if call.call_id != "recorded")
+        assert caller_leg.outcome is hub_leg.outcome is Outcome.ESTABLISHED
+        assert (
+            caller_leg.source == caller and caller_leg.transport == transport and hub_leg.transport == "UDP"
+        )
+        assert (
+            caller_leg.released_by == hub_leg.released_by and caller_leg.bye_response_ns >= caller_leg.bye_ns
+        )
         play(stage, "program stop\nprogram ends 0\n")
     finally:
         log = stage.end()
@@ -272,17 +289,17 @@
     assert "messages written, 0 dropped (queue full), 0 not written (disk error)" in log
 
 
-def test_nothing_to_play_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_start_fails_with_one_line_if_nothing_can_be_played(tmp_path: Path) -> None:
     empty = encode_capture([], PcapEncoder())
-    for data, why in ((b"GIF89a" * 9, "neither pcap nor pcapng"), (empty, "no message")):
+    for data, reason in ((b"GIF89a" * 9, "neither pcap nor pcapng"), (empty, "no message")):
         (tmp_path / "x").write_bytes(data)
-        with pytest.raises(ConfigError, match=why):
+        with pytest.raises(ConfigError, match=reason):
             Capture([str(tmp_path / "x")], None, ("127.0.0.1", 5060))
     with pytest.raises(OSError, match="No such file"):
         Capture([str(tmp_path / "none")], None, ("127.0.0.1", 5060))
 
 
-def test_conversations_are_bounded_and_each_is_whole() -> None:
+def test_open_connections_are_bounded() -> None:
     builder = PacketBuilder()
     frames = []
     for n in range(PacketBuilder.MAX_CONNECTIONS + 50):
