--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -24,10 +24,10 @@
 from landingdeal.core.events import Attempt, Ended, HubDied, Offer, Probed
 from landingdeal.lab.ports import free_port
 from landingdeal.net.bus import BusReader
-from landingdeal.net.callers import Callers
+from landingdeal.net.callers import CallerConnections
 from landingdeal.net.config import HubAddress, TopologyEvent
-from landingdeal.net.hubs import Hub, Hubs
-from landingdeal.net.link import QUEUE_MOST, CallerLink, HubLink, Link
+from landingdeal.net.hubs import Hub, HubConnections
+from landingdeal.net.link import MAX_QUEUED_MESSAGES, CallerLink, HubLink, Link
 from landingdeal.net.transaction import CallerTransaction
 from landingdeal.sip.message import Message, encode, request
 from landingdeal.threads import start_lasting_thread, start_thread
@@ -240,7 +240,7 @@
         caller send INVITE a dest=1
         hub1 expect INVITE a
         program reload bus2
-        program says again
+        program says reloaded
         bus2 tell hub2 draining
         hub0 wait 200
         caller send INVITE b dest=2 patience=400
@@ -249,7 +249,7 @@
         hub1 send 200 a
         caller expect 200 a
         program reload unusable
-        program says stays:
+        program says kept:
         bus2 tell hub2 up
         hub0 wait 200
         caller send INVITE c dest=2
@@ -356,7 +356,7 @@
     sent = 0
     while sent < 20000 and link.send(bulky):  # never waits
         sent += 1
-    assert QUEUE_MOST <= sent < 20000 and not link.alive
+    assert MAX_QUEUED_MESSAGES <= sent < 20000 and not link.alive
     assert ended.get(timeout=5) is False
     far.close()
 
@@ -366,8 +366,8 @@
     ["", "INVITE x SIP/2.0\r\nX-Pad: ", "INVITE x SIP/2.0\r\nContent-Length: 9\r\n\r\nabc"],
 )
 def test_what_is_not_whole_in_time_ends_its_connection(first: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(CallerLink, "FIRST_MS", 300.0)
-    monkeypatch.setattr(CallerLink, "UNFINISHED_MS", 300.0)
+    monkeypatch.setattr(CallerLink, "FIRST_MESSAGE_TIMEOUT_MS", 300.0)
+    monkeypatch.setattr(CallerLink, "MESSAGE_TIMEOUT_MS", 300.0)
     near, far = socket.socketpair()
     ended: queue.Queue[bool] = queue.Queue()
     ended_with = lambda on, reset: ended.put(reset)  # noqa: E731
@@ -408,9 +408,9 @@
 
 def test_callers_that_ask_once_and_hold_on_make_room_for_others() -> None:
     settings = read_settings(json.dumps(SETTINGS).encode())
-    callers = Callers(settings, Inbox(), "127.0.0.1", free_port(), 20)
+    callers = CallerConnections(settings, Inbox(), "127.0.0.1", free_port(), 20)
     callers.ready.set()
-    where = callers.door.listener.getsockname()
+    where = callers.acceptor.listener.getsockname()
     asked = b"OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
     held = []
     for _ in range(60):
@@ -422,37 +422,39 @@
     while len(callers.links) > 8 and now_ms() < until:
         time.sleep(0.01)
     assert len(callers.links) <= 8
-    callers.door.listener.close()
+    callers.acceptor.listener.close()
     for sock in held:
         sock.close()
 
 
 def test_a_silent_hub_is_written_off_once_before_eight_seconds() -> None:
     inbox = Inbox()
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     hub = hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
-    last = hub.heard_ms
+    last = hub.last_received_ms
     for later in (2000, 6900, 7250, 7500, 9000):
-        hubs.watch(last + later)
+        hubs.check_hubs(last + later)
     assert [event for event in inbox.take(last)] == [HubDied(b"h", last + 7250)]
 
 
 def test_a_hub_that_was_gone_is_connected_to_again_whatever_is_left_of_it() -> None:
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
         where = f"127.0.0.1:{server.getsockname()[1]}"
-        hubs.known(b"h", where, False)
+        hubs.update_hub(b"h", where, False)
         silent, _ = server.accept()
         hub, until = hubs.hubs[b"h"], now_ms() + 5000
         while hub.link is None and now_ms() < until:
             time.sleep(0.01)
-        hubs.known(b"h", where, True)
-        hubs.watch(hub.heard_ms + 2600)  # silent by now: its connection is in doubt, and still open
-        while hub.kept and now_ms() < until:
+        hubs.update_hub(b"h", where, True)
+        hubs.check_hubs(
+            hub.last_received_ms + 2600
+        )  # silent by now: its connection is in doubt, and still open
+        while hub.keeper_running and now_ms() < until:
             time.sleep(0.01)
-        assert hub.open and not hub.kept
-        hubs.known(b"h", where, False)
+        assert hub.pending and not hub.keeper_running
+        hubs.update_hub(b"h", where, False)
         again, _ = server.accept()
         for sock in (silent, again):
             sock.close()
@@ -460,25 +462,25 @@
 
 def test_hubs_that_are_gone_leave_nothing_behind() -> None:
     inbox = Inbox()
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
         where, until = f"127.0.0.1:{server.getsockname()[1]}", now_ms() + 5000
         for name in (b"a", b"b"):  # the second has the address of the first, whose end is told nowhere
-            hubs.known(name, where, False)
+            hubs.update_hub(name, where, False)
             server.accept()
         old = hubs.hubs[b"a"]
-        while (old.kept or old.open) and now_ms() < until:
+        while (old.keeper_running or old.pending) and now_ms() < until:
             time.sleep(0.01)
-        assert not old.kept and not old.open
+        assert not old.keeper_running and not old.pending
         assert [type(event) for event in inbox.take(now_ms())] == [HubDied]
-        hubs.known(b"a", "", True)
-        hubs.watch(now_ms() + 7100)
-        hubs.watch(now_ms() + 7200)
+        hubs.update_hub(b"a", "", True)
+        hubs.check_hubs(now_ms() + 7100)
+        hubs.check_hubs(now_ms() + 7200)
         assert set(hubs.hubs) == {b"b"}
-        hubs.known(b"b", where, True)
+        hubs.update_hub(b"b", where, True)
         while hubs.hubs and now_ms() < until:  # silent and gone: its connection is closed and it is forgotten
-            hubs.watch(now_ms() + 7100)
+            hubs.check_hubs(now_ms() + 7100)
             time.sleep(0.01)
         assert not hubs.hubs
 
@@ -486,10 +488,10 @@
 @pytest.mark.parametrize("restarted", [True, False])
 def test_a_connection_that_fell_silent_is_replaced_and_only_a_reset_is_a_restart(restarted: bool) -> None:
     inbox = Inbox()
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(5)
-        hubs.known(b"h", f"127.0.0.1:{server.getsockname()[1]}", False)
+        hubs.update_hub(b"h", f"127.0.0.1:{server.getsockname()[1]}", False)
         old, _ = server.accept()
         hub, until = hubs.hubs[b"h"], now_ms() + 5000
         while hub.link is None and now_ms() < until:
@@ -500,13 +502,13 @@
         sent = Attempt(offer, 0, b"h", now_ms(), now_ms() + 1500)
         hubs.set_up(sent)
         assert first is not None
-        hubs.watch(first.unanswered_ms + 370)
+        hubs.check_hubs(first.first_unanswered_ms + 370)
         assert hub.link is first
-        hubs.watch(first.unanswered_ms + 380)
+        hubs.check_hubs(first.first_unanswered_ms + 380)
         new, _ = server.accept()
         while hub.link is None and now_ms() < until:
             time.sleep(0.01)
-        hubs.watch(now_ms())
+        hubs.check_hubs(now_ms())
         old.settimeout(5)
         assert b"INVITE" in old.recv(1000)
         if restarted:
@@ -514,8 +516,8 @@
             old.close()
         else:
             assert hub.link is not None
-            hub.link.final_ms = first.asked_ms + 1  # it answers there
-            hubs.watch(first.asked_ms + 251)
+            hub.link.last_answer_ms = first.probed_ms + 1  # it answers there
+            hubs.check_hubs(first.probed_ms + 251)
         told: list[object] = []
         while len(told) < 1 + restarted and now_ms() < until:
             told += inbox.take(until)
@@ -538,26 +540,26 @@
 
 
 def test_time_outs_tell_apart_a_mute_connection_from_a_slow_hub() -> None:
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), Inbox(), "127.0.0.1:1", 500.0)
     hub = hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     nobody = CallerTransaction(None, None, None)  # type: ignore[arg-type]
     old, new = (HubLink(socket.socketpair()[0], lambda on, m: None, lambda on, r: None) for _ in range(2))
     offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", nobody)
     for answered, mute in ((False, False), (True, True)):
         attempt = Attempt(offer, 0, b"h", now_ms() + 1, now_ms() + 1500)
-        hub.link, hub.open = old, {old: {"a": attempt}}
+        hub.link, hub.pending = old, {old: {"a": attempt}}
         assert not hubs.cancel(attempt)  # the hub itself may be slow
-        hub.link, hub.open = new, {old: {"a": attempt}, new: {}}
-        new.final_ms = attempt.sent_ms + 1 if answered else 0.0
+        hub.link, hub.pending = new, {old: {"a": attempt}, new: {}}
+        new.last_answer_ms = attempt.sent_ms + 1 if answered else 0.0
         assert hubs.cancel(attempt) is mute
 
 
 def test_a_probe_without_an_answer_is_told_as_failed() -> None:
     inbox = Inbox()
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 50.0)
     hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     hubs.probe(b"h", now_ms() + 250)
-    hubs.watch(now_ms() + 251)
+    hubs.check_hubs(now_ms() + 251)
     (event,) = inbox.take(now_ms())
     assert isinstance(event, Probed) and not event.well and 249 < event.latency_ms <= 250
 
@@ -637,8 +639,8 @@
         assert ended.get(timeout=5) is reset
 
 
-def hub_without_a_connection(inbox: Inbox) -> tuple[Hubs, Attempt]:
-    hubs = Hubs(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
+def hub_without_a_connection(inbox: Inbox) -> tuple[HubConnections, Attempt]:
+    hubs = HubConnections(read_settings(json.dumps(SETTINGS).encode()), inbox, "127.0.0.1:1", 500.0)
     hubs.hubs[b"h"] = Hub(b"h", "127.0.0.1", 1)
     nobody = CallerTransaction(None, None, None)  # type: ignore[arg-type]
     offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 4000, b"body", nobody)
@@ -650,12 +652,12 @@
     hubs, attempt = hub_without_a_connection(inbox)
     hub = hubs.hubs[b"h"]
     hubs.set_up(attempt)
-    assert hub.waiting == [attempt]
-    hub.kept = True  # no keeper is started here
-    hubs.known(b"h", "127.0.0.1:1", False, draining=True)
-    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
+    assert hub.queued == [attempt]
+    hub.keeper_running = True  # no keeper is started here
+    hubs.update_hub(b"h", "127.0.0.1:1", False, draining=True)
+    assert not hub.queued and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
     hubs.set_up(attempt)
-    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
+    assert not hub.queued and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
 
 
 def test_an_attempt_that_is_called_off_while_its_connection_comes_up_is_cancelled_after_it_was_sent() -> None:
@@ -666,7 +668,7 @@
     link = HubLink(near, lambda on, m: None, lambda on, r: None)
     put, cancelled = link.send, []
 
-    def send(message: Message, wanted: object = None) -> bool:
+    def send(message: Message, still_wanted: object = None) -> bool:
         """The core calls it off just as its set-up is queued."""
         if message.method == "INVITE":
             canceller = threading.Thread(target=lambda: cancelled.append(hubs.cancel(attempt)))
@@ -675,12 +677,12 @@
         return put(message)
 
     link.send = send  # type: ignore[method-assign]
-    hubs._connected(hub, link)
+    hubs._on_connected(hub, link)
     far.settimeout(5)
     told = b""
     while b"CANCEL" not in told:
         told += far.recv(4096)
-    assert told.index(b"INVITE sip") < told.index(b"CANCEL sip") and not hub.open[link]
+    assert told.index(b"INVITE sip") < told.index(b"CANCEL sip") and not hub.pending[link]
     link.close()
     far.close()
 
