--- a/landingdeal/capture/limits.py
+++ b/landingdeal/capture/limits.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ReplayLimits:
     outstanding: int = 10_000  # calls without a final answer
     standing: int = 50_000
     per_s: float = 5_000.0  # first messages, tries again included
@@ -19,10 +19,10 @@
     backoff_most_ms: float = 5_000.0
 
 
-class Admission:
+class AdmissionControl:
     """Asked before each send; says why a call is shed, or nothing."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: ReplayLimits) -> None:
         self.limits = limits
         self.waiting = self.standing = 0
         self._room, self._at_ms = limits.burst, 0.0
@@ -50,10 +50,10 @@
         self.standing -= 1
 
 
-class Backoff:
+class ConnectBackoff:
     """One address: when it may be tried again after it could not be reached."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: ReplayLimits) -> None:
         self.limits = limits
         self.failures = 0
         self.until_ms = float("-inf")
--- a/landingdeal/capture/plan.py
+++ b/landingdeal/capture/plan.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 
 from landingdeal.capture.calls import CallRecord, Outcome, Side
-from landingdeal.capture.retries import Policy
+from landingdeal.capture.retries import RetryPolicy
 from landingdeal.sip.message import Message
 
 BLOCK = 4096  # calls whose copies are drawn at once
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offered:
+class PlannedCall:
     """One call to be offered. Spans in milliseconds; -1 where the capture holds nothing of the kind.
 
     `at_ms` is counted from the start of the replay. `copy` is 0 for the call as recorded.
@@ -46,14 +46,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class ReplayOptions:
     """How a capture is offered."""
 
     speed: float = 1.0  # 2: in half the time; spans within a call stay as they were
     scale: int = 1  # so many callers for each one recorded
     spread_ms: float = 500.0  # over which copies start after the recorded one, at exponential distances
     seed: int = 1
-    retries: Policy = Policy.RECORDED
+    retries: RetryPolicy = RetryPolicy.RECORDED
     transport: str = ""  # UDP or TCP instead of the recorded one
     linger_ms: float = 5000.0  # a call that the other side ended in the capture is ended by us so much later
 
@@ -65,7 +65,7 @@
     return ""
 
 
-def planned(call: CallRecord, first_ns: int, shape: Shape) -> Offered:
+def planned(call: CallRecord, first_ns: int, options: ReplayOptions) -> PlannedCall:
     """The call as recorded."""
     assert call.invite is not None
     cancel = (call.cancel_ns - call.invite_ns) / 1e6 if call.cancel_ns >= 0 else -1.0
@@ -74,29 +74,29 @@
         if call.bye_by is Side.CALLER:
             hold = call.hold_ms
         elif call.bye_by is Side.CALLED:
-            hold = call.hold_ms + shape.linger_ms  # it is for the other side to end it; else we do
+            hold = call.hold_ms + options.linger_ms  # it is for the other side to end it; else we do
         else:
-            hold = shape.linger_ms  # its end is not in the capture
-    return Offered(
-        index=0, number=call.number, copy=0, at_ms=(call.invite_ns - first_ns) / 1e6 / shape.speed,
-        invite=call.invite, transport=shape.transport or call.transport, class_name=call.class_name,
+            hold = options.linger_ms  # its end is not in the capture
+    return PlannedCall(
+        index=0, number=call.number, copy=0, at_ms=(call.invite_ns - first_ns) / 1e6 / options.speed,
+        invite=call.invite, transport=options.transport or call.transport, class_name=call.class_name,
         patience_ms=call.patience_ms, cancel_ms=cancel, hold_ms=min(hold, HOLD_MOST_MS),
         recorded_ms=call.answer_ms, recorded_status=call.status, recorded_outcome=call.outcome,
         first_try=call.first_try,
     )  # fmt: skip
 
 
-def copies(one: Offered, shape: Shape) -> Iterator[Offered]:
+def copies(one: PlannedCall, options: ReplayOptions) -> Iterator[PlannedCall]:
     """The call and its copies: each with an identity of its own, started a little later."""
     yield one
-    random_ = random.Random(f"{shape.seed}/{one.number}")
-    for copy in range(1, shape.scale):
-        later = random_.expovariate(1.0) * shape.spread_ms / shape.speed
+    random_ = random.Random(f"{options.seed}/{one.number}")
+    for copy in range(1, options.scale):
+        later = random_.expovariate(1.0) * options.spread_ms / options.speed
         yield replace(one, copy=copy, at_ms=one.at_ms + later)
 
 
 @dataclass(slots=True)
-class Left:
+class SkippedCalls:
     """What was not planned, and why."""
 
     reasons: dict[str, int]
@@ -105,12 +105,14 @@
         self.reasons[why] = self.reasons.get(why, 0) + 1
 
 
-def plan(calls: Iterable[CallRecord], shape: Shape, left: Left, first_ns: int | None = None) -> list[Offered]:
+def plan(
+    calls: Iterable[CallRecord], options: ReplayOptions, left: SkippedCalls, first_ns: int | None = None
+) -> list[PlannedCall]:
     """All calls in the order in which they are offered, numbered; `left` counts those that can't be."""
     found: list[CallRecord] = []
     for call in calls:
         why = playable(call)
-        if not why and call.first_try and shape.retries is not Policy.RECORDED:
+        if not why and call.first_try and options.retries is not RetryPolicy.RECORDED:
             why = "a try again"
         if why:
             left.add(why)
@@ -119,18 +121,18 @@
     if not found:
         return []
     start = min(call.invite_ns for call in found) if first_ns is None else first_ns
-    made = [one for call in found for one in copies(planned(call, start, shape), shape)]
+    made = [one for call in found for one in copies(planned(call, start, options), options)]
     made.sort(key=lambda one: (one.at_ms, one.number, one.copy))
     return [replace(one, index=index) for index, one in enumerate(made)]
 
 
-def identity(one: Offered, tries: int, seed: int) -> tuple[str, str]:
+def identity(one: PlannedCall, tries: int, seed: int) -> tuple[str, str]:
     """Call-ID and From tag of one try of a planned call: the same on every run with the same seed."""
     random_ = random.Random(f"{seed}/{one.number}/{one.copy}/{tries}")
     return f"{random_.getrandbits(64):016x}", f"r{random_.getrandbits(32):08x}"
 
 
-def fingerprint(made: Sequence[Offered]) -> str:
+def fingerprint(made: Sequence[PlannedCall]) -> str:
     """What a saved state belongs to: two plans with the same one offer the same calls at the same times."""
     import xxhash
 
--- a/landingdeal/capture/player.py
+++ b/landingdeal/capture/player.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from landingdeal.capture.calls import Outcome
-from landingdeal.capture.plan import Offered, identity
+from landingdeal.capture.plan import PlannedCall, identity
 from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
 from landingdeal.sip.dialog import Dialog
 from landingdeal.sip.message import Message, request, response
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class ReplayAddresses:
     """Where the load goes, and where it comes from."""
 
     to: tuple[str, int]
@@ -33,10 +33,10 @@
 
 
 @dataclass(slots=True)
-class Result:
+class ReplayResult:
     """What became of one try. Spans in milliseconds from when its INVITE was due; -1: did not happen."""
 
-    offered: Offered
+    offered: PlannedCall
     tries: int
     late_ms: float  # by so much the INVITE left after its plan
     status: int = 0
@@ -48,24 +48,24 @@
     finals: int = 0  # final answers to the INVITE; more than one breaks the first rule
 
 
-class Player:
+class CallPlayer:
     """`over` is called once, with the result, when nothing more of the call will happen."""
 
     def __init__(
         self,
         layer: Layer,
         flow: Flow,
-        target: Target,
-        offered: Offered,
+        target: ReplayAddresses,
+        offered: PlannedCall,
         tries: int,
         seed: int,
-        over: Callable[[Player], None],
-        answered: Callable[[Player], None] = lambda player: None,
+        over: Callable[[CallPlayer], None],
+        answered: Callable[[CallPlayer], None] = lambda player: None,
     ) -> None:
         self.layer, self.flow, self.target, self.offered = layer, flow, target, offered
         self.call_id, self.tag = identity(offered, tries, seed)
         self.over, self.answered = over, answered
-        self.result = Result(offered, tries, 0.0)
+        self.result = ReplayResult(offered, tries, 0.0)
         self.transaction: ClientTransaction | None = None  # of the INVITE
         self.cancelling: ClientTransaction | None = None
         self.ending: ClientTransaction | None = None
--- a/landingdeal/capture/progress.py
+++ b/landingdeal/capture/progress.py
@@ -17,7 +17,7 @@
 VERSION = 1
 
 
-class State(msgspec.Struct, forbid_unknown_fields=True):
+class ReplayState(msgspec.Struct, forbid_unknown_fields=True):
     """`started` calls of the plan may have gone out; those of them that are not in `done` were in flight."""
 
     version: int
@@ -27,14 +27,14 @@
     done: dict[int, str]  # outcome by index, of calls that have ended
 
 
-def load(path: Path, plan: str) -> State | None:
+def load(path: Path, plan: str) -> ReplayState | None:
     """None where there is none yet. Raises ConfigError on what belongs to another plan or is damaged."""
     try:
         raw = path.read_bytes()
     except FileNotFoundError:
         return None
     try:
-        state: State = msgspec.json.decode(raw, type=State)
+        state: ReplayState = msgspec.json.decode(raw, type=ReplayState)
     except msgspec.DecodeError as error:
         raise ConfigError(f"{path}: no state of a replay: {error}") from None
     if state.version != VERSION:
@@ -44,7 +44,7 @@
     return state
 
 
-def save(path: Path, state: State) -> None:
+def save(path: Path, state: ReplayState) -> None:
     """Raises OSError; the old state is then untouched."""
     made = path.with_name(path.name + ".new")
     try:
@@ -59,6 +59,6 @@
         raise
 
 
-def in_flight(state: State) -> list[int]:
+def in_flight(state: ReplayState) -> list[int]:
     """Calls that had gone out and not ended: they are not offered again."""
     return [index for index in range(state.started) if index not in state.done]
--- a/landingdeal/capture/replay.py
+++ b/landingdeal/capture/replay.py
@@ -18,10 +18,10 @@
 
 from landingdeal.capture import progress
 from landingdeal.capture.calls import Outcome
-from landingdeal.capture.limits import Admission, Backoff, Limits
-from landingdeal.capture.plan import Offered, Shape, fingerprint
-from landingdeal.capture.player import Player, Result, Target
-from landingdeal.capture.retries import Model, Retries
+from landingdeal.capture.limits import AdmissionControl, ConnectBackoff, ReplayLimits
+from landingdeal.capture.plan import PlannedCall, ReplayOptions, fingerprint
+from landingdeal.capture.player import CallPlayer, ReplayAddresses, ReplayResult
+from landingdeal.capture.retries import RetryModel, RetryScheduler
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.net.link import Link, connect
 from landingdeal.sip.loop import Loop, Work
@@ -37,8 +37,8 @@
 
 
 @dataclass(slots=True)
-class Report:
-    results: list[Result] = field(default_factory=list)
+class ReplayReport:
+    results: list[ReplayResult] = field(default_factory=list)
     shed: Counter[str] = field(default_factory=Counter)
     left_in_flight: list[int] = field(default_factory=list)  # of the replay that this one goes on with
     skipped: int = 0  # calls that an earlier run had offered
@@ -48,7 +48,7 @@
     stopped: bool = False
 
 
-class _Udp:
+class _UdpFlow:
     """All calls go out from one socket."""
 
     kind, reliable, alive, was_up = "UDP", False, True, True
@@ -88,7 +88,7 @@
         self.sock.close()
 
 
-class _Tcp:
+class _TcpFlow:
     """One connection of several; dialled again, with back-off, when the next call is due."""
 
     kind, reliable = "TCP", True
@@ -101,7 +101,7 @@
         self.local: tuple[str, int] = self.sock.getsockname()[:2]
         self.link: Link | None = None
         self.held: list[Message] = []
-        self.players: dict[str, Player] = {}
+        self.players: dict[str, CallPlayer] = {}
         self.alive, self.was_up = True, False
 
     def dial(self) -> None:
@@ -146,26 +146,26 @@
 
     def __init__(
         self,
-        plan: Sequence[Offered],
+        plan: Sequence[PlannedCall],
         target: tuple[str, int],
-        shape: Shape,
-        limits: Limits = Limits(),  # noqa: B008 (frozen)
-        model: Model = Model(),  # noqa: B008 (frozen)
+        options: ReplayOptions,
+        limits: ReplayLimits = ReplayLimits(),  # noqa: B008 (frozen)
+        model: RetryModel = RetryModel(),  # noqa: B008 (frozen)
         state_file: Path | None = None,
         t1_ms: float = 500.0,
     ) -> None:
-        self.plan, self.target, self.shape, self.limits = plan, target, shape, limits
+        self.plan, self.target, self.options, self.limits = plan, target, options, limits
         self.loop, self.timing = Loop(), Timing(t1_ms)
-        self.admission, self.backoff = Admission(limits), Backoff(limits)
-        self.retries = Retries(shape.retries, model, random.Random(shape.seed))
-        self.report = Report()
-        self.players: dict[str, Player] = {}  # by Call-ID
+        self.admission, self.backoff = AdmissionControl(limits), ConnectBackoff(limits)
+        self.retries = RetryScheduler(options.retries, model, random.Random(options.seed))
+        self.report = ReplayReport()
+        self.players: dict[str, CallPlayer] = {}  # by Call-ID
         self.done: dict[int, str] = {}
         self.next = 0
         self.pending = 0  # tries that are out or to come
         self.finished = threading.Event()
-        self.udp: _Udp | None = None
-        self.tcp: dict[int, _Tcp] = {}
+        self.udp: _UdpFlow | None = None
+        self.tcp: dict[int, _TcpFlow] = {}
         self.state_file = state_file
         self.fingerprint = fingerprint(plan) if state_file is not None else ""
         self.base_ms = 0.0  # the plan's clock where this run begins
@@ -185,12 +185,12 @@
 
     # --- the run ---
 
-    def run(self) -> Report:
+    def run(self) -> ReplayReport:
         """Raises ConfigError on a state that is not of this plan, and OSError."""
         if self.state_file is not None:
             self._resume(self.state_file)
         if any(one.transport == "UDP" for one in self.plan):
-            self.udp = _Udp(self.target, self.received)
+            self.udp = _UdpFlow(self.target, self.received)
         self.began_ms = now_ms() + START_MS
         self.loop.start()
         if self.state_file is not None:
@@ -211,7 +211,7 @@
         self.report.stopped = True
         self.finished.set()
 
-    def _due_ms(self, one: Offered) -> float:
+    def _due_ms(self, one: PlannedCall) -> float:
         return self.began_ms + one.at_ms - self.base_ms
 
     def _offer_due(self) -> None:
@@ -233,26 +233,28 @@
             self._try(one, 1, due)
         self._look()
 
-    def _try(self, one: Offered, tries: int, due: float) -> None:
+    def _try(self, one: PlannedCall, tries: int, due: float) -> None:
         self.pending += 1
         why = self.admission.objection(self.loop.now())
         if why:
             self.report.shed[why] += 1
-            self._result(Result(one, tries, self.loop.now() - due, error=f"shed: {why}"))
+            self._result(ReplayResult(one, tries, self.loop.now() - due, error=f"shed: {why}"))
             return
         flow = self._flow(one)
         if flow is None:
             self.admission.answered(False)
-            self._result(Result(one, tries, self.loop.now() - due, error="the address can't be reached"))
+            self._result(
+                ReplayResult(one, tries, self.loop.now() - due, error="the address can't be reached")
+            )
             return
-        target = Target(self.target, flow.local)
-        player = Player(self, flow, target, one, tries, self.shape.seed, self._over, self._answered)
+        target = ReplayAddresses(self.target, flow.local)
+        player = CallPlayer(self, flow, target, one, tries, self.options.seed, self._over, self._answered)
         self.players[player.call_id] = player
-        if isinstance(flow, _Tcp):
+        if isinstance(flow, _TcpFlow):
             flow.players[player.call_id] = player
         player.start(due)
 
-    def _flow(self, one: Offered) -> _Udp | _Tcp | None:
+    def _flow(self, one: PlannedCall) -> _UdpFlow | _TcpFlow | None:
         """Calls from one recorded address share a connection; None while the address is left alone."""
         if one.transport == "UDP":
             return self.udp
@@ -261,7 +263,7 @@
         if flow is None or not flow.alive:
             if self.backoff.shut(self.loop.now()):
                 return None
-            flow = self.tcp[key] = _Tcp(self.target, self)
+            flow = self.tcp[key] = _TcpFlow(self.target, self)
             start_thread("replay-dial", flow.dial)
         return flow
 
@@ -283,20 +285,20 @@
     def reached(self) -> None:
         self.backoff.reached()
 
-    def unreachable(self, flow: _Tcp) -> None:
+    def unreachable(self, flow: _TcpFlow) -> None:
         self.backoff.failed(self.loop.now())
         self.lost(flow)
 
-    def lost(self, flow: _Tcp) -> None:
+    def lost(self, flow: _TcpFlow) -> None:
         flow.alive = False
         flow.held.clear()
         for player in list(flow.players.values()):
             player.failed()
 
-    def _answered(self, player: Player) -> None:
+    def _answered(self, player: CallPlayer) -> None:
         self.admission.answered(player.result.outcome is Outcome.STOOD)
 
-    def _over(self, player: Player) -> None:
+    def _over(self, player: CallPlayer) -> None:
         result = player.result
         if result.outcome is Outcome.STOOD:
             self.admission.ended()
@@ -304,12 +306,12 @@
         self.loop.at(self.loop.now() + min(self.timing.b, 2000.0), lambda: self._forget(player))
         self._result(result)
 
-    def _forget(self, player: Player) -> None:
+    def _forget(self, player: CallPlayer) -> None:
         self.players.pop(player.call_id, None)
-        if isinstance(player.flow, _Tcp):
+        if isinstance(player.flow, _TcpFlow):
             player.flow.players.pop(player.call_id, None)
 
-    def _result(self, result: Result) -> None:
+    def _result(self, result: ReplayResult) -> None:
         self.pending -= 1
         self.report.results.append(result)
         one, tries = result.offered, result.tries
@@ -328,7 +330,7 @@
         self._conclude(one, result.error or f"{result.outcome.value} {result.status or ''}".strip())
         self._look()
 
-    def _conclude(self, one: Offered, what: str) -> None:
+    def _conclude(self, one: PlannedCall, what: str) -> None:
         if self.state_file is not None:
             self.done[one.index] = what
 
@@ -363,7 +365,7 @@
         if self.finished.is_set():
             upto = max(self.next, 0)
         done = dict(list(self.done.items()))
-        state = progress.State(progress.VERSION, self.fingerprint, at, upto, done)
+        state = progress.ReplayState(progress.VERSION, self.fingerprint, at, upto, done)
         try:
             progress.save(path, state)
         except OSError:
--- a/landingdeal/capture/results.py
+++ b/landingdeal/capture/results.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from landingdeal.capture.calls import Outcome
-from landingdeal.capture.player import Result
-from landingdeal.capture.replay import Report
+from landingdeal.capture.player import ReplayResult
+from landingdeal.capture.replay import ReplayReport
 
 LATE_MS = 1.0  # a send so much after its plan is told
 HISTOGRAM_MOST_US = 3_600_000_000
@@ -35,9 +35,9 @@
     return {**told, "most": made.get_max_value() / 1000}
 
 
-def last_tries(report: Report) -> list[Result]:
+def last_tries(report: ReplayReport) -> list[ReplayResult]:
     """One result a call: that of its last try."""
-    made: dict[int, Result] = {}
+    made: dict[int, ReplayResult] = {}
     for result in report.results:
         known = made.get(result.offered.index)
         if known is None or result.tries > known.tries:
@@ -45,13 +45,13 @@
     return [made[index] for index in sorted(made)]
 
 
-def same(result: Result) -> bool:
+def same(result: ReplayResult) -> bool:
     """Whether the replay came to what the capture holds."""
     one = result.offered
     return (result.outcome, result.status) == (one.recorded_outcome, one.recorded_status)
 
 
-def rows(report: Report) -> Iterator[dict[str, Any]]:
+def rows(report: ReplayReport) -> Iterator[dict[str, Any]]:
     for result in last_tries(report):
         one = result.offered
         yield {
@@ -64,10 +64,10 @@
         }  # fmt: skip
 
 
-def summary(report: Report) -> dict[str, Any]:
+def summary(report: ReplayReport) -> dict[str, Any]:
     results = last_tries(report)
     late = [result.late_ms for result in report.results if not result.error.startswith("shed")]
-    by_class: dict[str, list[Result]] = defaultdict(list)
+    by_class: dict[str, list[ReplayResult]] = defaultdict(list)
     for result in results:
         by_class[result.offered.class_name or "-"].append(result)
     return {
--- a/landingdeal/capture/retries.py
+++ b/landingdeal/capture/retries.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 
-class Policy(StrEnum):
+class RetryPolicy(StrEnum):
     RECORDED = "recorded"  # tries again are calls of the capture and are offered as they were
     MODEL = "model"  # they are left out, and refused calls are tried again by the model below
     NONE = "none"  # they are left out, and nothing is tried again
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Model:
+class RetryModel:
     """What callers do after a refusal. Times in milliseconds."""
 
     most: int = 3  # tries again of one call
@@ -32,10 +32,10 @@
     budget: float = 0.5  # tries again, all calls together, for each first try so far
 
 
-class Retries:
+class RetryScheduler:
     """Counts first tries and tries again; `again` answers for one refused call."""
 
-    def __init__(self, policy: Policy, model: Model, random_: random.Random) -> None:
+    def __init__(self, policy: RetryPolicy, model: RetryModel, random_: random.Random) -> None:
         self.policy, self.model, self.random = policy, model, random_
         self.first = self.granted = self.denied = 0
 
@@ -45,11 +45,11 @@
 
     def leaves_out(self, tries_again: bool) -> bool:
         """Whether a recorded call is not offered, being a try again."""
-        return tries_again and self.policy is not Policy.RECORDED
+        return tries_again and self.policy is not RetryPolicy.RECORDED
 
     def again(self, status: int, tries: int, told_ms: float) -> float | None:
         """The pause before the next try; None where there is none. `tries` made so far count the first."""
-        if self.policy is not Policy.MODEL or status not in RETRYABLE:
+        if self.policy is not RetryPolicy.MODEL or status not in RETRYABLE:
             return None
         if tries > self.model.most or self.granted + 1 > self.model.budget * self.first:
             self.denied += 1
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -17,7 +17,7 @@
 from landingdeal.capture.calls import CallRecord, Calls
 from landingdeal.capture.problems import Kind
 from landingdeal.capture.reader import Reading, read
-from landingdeal.capture.retries import Policy
+from landingdeal.capture.retries import RetryPolicy
 from landingdeal.capture.views import FIELDS, as_row, call_table, ladder_of
 from landingdeal.commands.main import CAN_NOT, FOUND
 from landingdeal.errors import address
@@ -154,7 +154,7 @@
 @click.option("--until", "until_s", type=float, help="Seconds after the first call.")
 @click.option("--filter", "where", default="", help="Only these calls, as: class == voice and status >= 500")
 @click.option(
-    "--retries", type=click.Choice([p.value for p in Policy]), default="recorded", show_default=True
+    "--retries", type=click.Choice([p.value for p in RetryPolicy]), default="recorded", show_default=True
 )
 @click.option("--outstanding", type=click.IntRange(1), default=10_000, show_default=True)
 @click.option("--per-s", type=click.FloatRange(0.1), default=5000.0, show_default=True)
@@ -171,20 +171,27 @@
     ctx: click.Context, /, files: tuple[str, ...], to: str, transport: str | None, **given: Any
 ) -> None:
     """Offer the calls of captures to an address, open loop. Exit code 1 where a call had no answer."""
-    from landingdeal.capture.limits import Limits
-    from landingdeal.capture.plan import Left, Shape, plan
+    from landingdeal.capture.limits import ReplayLimits
+    from landingdeal.capture.plan import ReplayOptions, SkippedCalls, plan
     from landingdeal.capture.replay import Replay
     from landingdeal.capture.results import rows, summary
 
-    reading, left = Reading(), Left({})
-    shape = Shape(given["speed"], given["scale"], seed=given["seed"], retries=Policy(given["retries"]),
-                  transport=(transport or "").upper())  # fmt: skip
+    reading, left = Reading(), SkippedCalls({})
+    options = ReplayOptions(
+        given["speed"],
+        given["scale"],
+        seed=given["seed"],
+        retries=RetryPolicy(given["retries"]),
+        transport=(transport or "").upper(),
+    )
     found = chosen(files, reading, given["where"], given["from_s"], given["until_s"])
-    made = plan(found, shape, left)
+    made = plan(found, options, left)
     if not made:
         raise click.ClickException(f"nothing to offer in {', '.join(files)}: {left.reasons or 'no calls'}")
-    limits = Limits(outstanding=given["outstanding"], per_s=given["per_s"])
-    engine = Replay(made, address(to, "--to"), shape, limits, state_file=given["state"], t1_ms=given["t1_ms"])
+    limits = ReplayLimits(outstanding=given["outstanding"], per_s=given["per_s"])
+    engine = Replay(
+        made, address(to, "--to"), options, limits, state_file=given["state"], t1_ms=given["t1_ms"]
+    )
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, lambda *_: engine.stop())
     report = engine.run()
--- a/landingdeal/lab/demo.py
+++ b/landingdeal/lab/demo.py
@@ -17,10 +17,10 @@
 
 from landingdeal.capture.calls import Calls
 from landingdeal.capture.encode import PcapngFile
-from landingdeal.capture.plan import Left, Shape, plan
-from landingdeal.capture.player import Result
+from landingdeal.capture.plan import ReplayOptions, SkippedCalls, plan
+from landingdeal.capture.player import ReplayResult
 from landingdeal.capture.reader import Reading, read
-from landingdeal.capture.replay import Replay, Report
+from landingdeal.capture.replay import Replay, ReplayReport
 from landingdeal.capture.results import last_tries, rows
 from landingdeal.capture.sample import Shape as Traffic
 from landingdeal.capture.sample import capture_file, packets, traffic
@@ -138,12 +138,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Shown:
-    report: Report
+    report: ReplayReport
     planned: int
     table: list[dict[str, Any]]
 
     @property
-    def unanswered(self) -> list[Result]:
+    def unanswered(self) -> list[ReplayResult]:
         return [result for result in last_tries(self.report) if result.finals != 1]
 
 
@@ -158,9 +158,9 @@
             capture.write_bytes(capture_file(packets(made), PcapngFile()))
             table = Calls()
             found = [call for seen in read([str(capture)], Reading()) for call in table.feed(seen)]
-            planned = plan([*found, *table.end()], Shape(linger_ms=0.0), Left({}))
+            planned = plan([*found, *table.end()], ReplayOptions(linger_ms=0.0), SkippedCalls({}))
             with front(folder, (hubs[0].port, hubs[1].port)) as port:
-                report = Replay(planned, ("127.0.0.1", port), Shape()).run()
+                report = Replay(planned, ("127.0.0.1", port), ReplayOptions()).run()
     finally:
         for hub in hubs:
             hub.end()
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -11,7 +11,7 @@
 from landingdeal.capture.calls import CallRecord, Calls
 from landingdeal.capture.compare import compare, shifts
 from landingdeal.capture.encode import PcapFile, PcapngFile
-from landingdeal.capture.plan import Left, Shape, plan
+from landingdeal.capture.plan import ReplayOptions, SkippedCalls, plan
 from landingdeal.capture.reader import Reading, read
 from landingdeal.capture.replay import Replay
 from landingdeal.capture.results import last_tries
@@ -103,10 +103,10 @@
     shape = Traffic(30, 40.0, transport=transport, refused=0.0, withdrawn=0.0, hold_ms=(50.0, 200.0))
     source.write_bytes(capture_file(packets(traffic(shape)), PcapFile()))
     hubs = [Answerer(Behaviour(ring_ms=2.0, answer_ms=10.0)) for _ in range(2)]
-    planned = plan(calls_in(source), Shape(linger_ms=0.0), Left({}))
+    planned = plan(calls_in(source), ReplayOptions(linger_ms=0.0), SkippedCalls({}))
     extra = f'[sip.capture]\nwrite = "{ours}"\n'
     with front(tmp_path, (hubs[0].port, hubs[1].port), extra) as port:
-        report = Replay(planned, ("127.0.0.1", port), Shape()).run()
+        report = Replay(planned, ("127.0.0.1", port), ReplayOptions()).run()
     for hub in hubs:
         hub.end()
     results = last_tries(report)
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -23,12 +23,12 @@
 from landingdeal.capture.calls import CallRecord, Calls, Outcome
 from landingdeal.capture.encode import PcapFile
 from landingdeal.capture.language import BadFilter, parse
-from landingdeal.capture.limits import Admission, Backoff, Limits
-from landingdeal.capture.plan import Left, Offered, Shape, fingerprint, identity, plan
+from landingdeal.capture.limits import AdmissionControl, ConnectBackoff, ReplayLimits
+from landingdeal.capture.plan import PlannedCall, ReplayOptions, SkippedCalls, fingerprint, identity, plan
 from landingdeal.capture.reader import Reading, read
 from landingdeal.capture.replay import Replay
 from landingdeal.capture.results import last_tries, summary
-from landingdeal.capture.retries import Model, Policy, Retries
+from landingdeal.capture.retries import RetryModel, RetryPolicy, RetryScheduler
 from landingdeal.capture.sample import Shape as Traffic
 from landingdeal.capture.sample import capture_file, packets, traffic
 from landingdeal.errors import ConfigError
@@ -100,8 +100,8 @@
 
 
 def test_a_plan_keeps_arrivals_and_scales_with_identities_of_its_own(calls: list[CallRecord]) -> None:
-    left = Left({})
-    made = plan(calls, Shape(speed=2.0, scale=3), left)
+    left = SkippedCalls({})
+    made = plan(calls, ReplayOptions(speed=2.0, scale=3), left)
     assert len(made) == 75 and [one.index for one in made] == list(range(75)) and not left.reasons
     assert [one.at_ms for one in made] == sorted(one.at_ms for one in made)
     first = min(call.invite_ns for call in calls)
@@ -110,16 +110,16 @@
         recorded = (call.invite_ns - first) / 1e6 / 2
         assert one.at_ms == pytest.approx(recorded) if not one.copy else one.at_ms >= recorded
     assert len({identity(one, 1, 1) for one in made}) == 75
-    assert plan(calls, Shape(speed=2.0, scale=3), left) == made, "the same seed, another plan"
-    assert fingerprint(made) != fingerprint(plan(calls, Shape(speed=2.0, scale=3, seed=2), left))
+    assert plan(calls, ReplayOptions(speed=2.0, scale=3), left) == made, "the same seed, another plan"
+    assert fingerprint(made) != fingerprint(plan(calls, ReplayOptions(speed=2.0, scale=3, seed=2), left))
 
 
 def test_what_can_not_be_offered_is_counted(calls: list[CallRecord]) -> None:
-    left = Left({})
+    left = SkippedCalls({})
     changed = [replace(calls[0], begun_before=True), replace(calls[1], first_try=1), *calls[2:]]
-    assert len(plan(changed, Shape(retries=Policy.NONE), left)) == 23
+    assert len(plan(changed, ReplayOptions(retries=RetryPolicy.NONE), left)) == 23
     assert left.reasons == {"begun before the capture": 1, "a try again": 1}
-    assert len(plan(changed, Shape(), Left({}))) == 24
+    assert len(plan(changed, ReplayOptions(), SkippedCalls({}))) == 24
 
 
 # --- limits and retries ---
@@ -127,8 +127,8 @@
 
 @given(st.lists(st.tuples(st.floats(0, 50), st.booleans()), max_size=300))
 def test_admission_never_passes_its_bounds(steps: list[tuple[float, bool]]) -> None:
-    limits = Limits(outstanding=5, standing=3, per_s=100.0, burst=4.0)
-    admission, now, sent, open_ = Admission(limits), 0.0, list[float](), 0
+    limits = ReplayLimits(outstanding=5, standing=3, per_s=100.0, burst=4.0)
+    admission, now, sent, open_ = AdmissionControl(limits), 0.0, list[float](), 0
     for later, answers in steps:
         now += later
         if answers and open_:
@@ -147,8 +147,8 @@
 
 @given(st.integers(0, 500), st.floats(0, 2), st.integers(1, 5), st.integers(0, 1000))
 def test_retries_stay_within_their_budget(first: int, budget: float, most: int, seed: int) -> None:
-    model = Model(most=most, budget=budget)
-    retries = Retries(Policy.MODEL, model, random.Random(seed))
+    model = RetryModel(most=most, budget=budget)
+    retries = RetryScheduler(RetryPolicy.MODEL, model, random.Random(seed))
     for _ in range(first):
         retries.offered()
     granted = 0
@@ -160,12 +160,12 @@
         assert tries <= most + 1
     assert granted == retries.granted <= budget * first
     assert retries.again(403, 1, 0.0) is None
-    for policy in (Policy.NONE, Policy.RECORDED):
-        assert Retries(policy, model, random.Random(1)).again(503, 1, 0.0) is None
+    for policy in (RetryPolicy.NONE, RetryPolicy.RECORDED):
+        assert RetryScheduler(policy, model, random.Random(1)).again(503, 1, 0.0) is None
 
 
 def test_an_address_that_can_not_be_reached_is_left_alone_ever_longer() -> None:
-    backoff, now, pauses = Backoff(Limits()), 0.0, []
+    backoff, now, pauses = ConnectBackoff(ReplayLimits()), 0.0, []
     for _ in range(10):
         backoff.failed(now)
         pauses.append(backoff.until_ms - now)
@@ -179,15 +179,20 @@
 # --- against a stand-in ---
 
 
-def offer(made: list[Offered], port: int, shape: Shape = Shape(), **more: object) -> Replay:  # noqa: B008
-    engine = Replay(made, ("127.0.0.1", port), shape, t1_ms=100.0, **more)  # type: ignore[arg-type]
+def offer(
+    made: list[PlannedCall],
+    port: int,
+    options: ReplayOptions = ReplayOptions(),  # noqa: B008 (frozen)
+    **more: object,
+) -> Replay:
+    engine = Replay(made, ("127.0.0.1", port), options, t1_ms=100.0, **more)  # type: ignore[arg-type]
     engine.run()
     return engine
 
 
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
 def test_the_same_calls_come_out(transport: str, calls: list[CallRecord], answerer: Answerer) -> None:
-    made = plan(calls, Shape(transport=transport), Left({}))
+    made = plan(calls, ReplayOptions(transport=transport), SkippedCalls({}))
     told = summary(offer(made, answerer.port).report)
     assert told["calls"] == told["same"] == 25 and not told["errors"] and not told["twice_answered"]
     seen = answerer.seen
@@ -201,7 +206,7 @@
     shape = replace(QUICK, calls=10, withdrawn=0.3, refused=0.0, called_ends=1.0)
     calls = calls_of(tmp_path / "c", shape)
     answerer = Answerer(Behaviour(ring_ms=1.0, answer_ms=100.0, ends_after_ms=30.0))
-    engine = offer(plan(calls, Shape(linger_ms=5000.0), Left({})), answerer.port)
+    engine = offer(plan(calls, ReplayOptions(linger_ms=5000.0), SkippedCalls({})), answerer.port)
     answerer.end()
     results = last_tries(engine.report)
     assert [r.outcome for r in results] == [r.offered.recorded_outcome for r in results]
@@ -212,9 +217,9 @@
 
 def test_refused_calls_are_tried_again_within_the_budget(calls: list[CallRecord]) -> None:
     answerer = Answerer(Behaviour(refuse=lambda user: 486))
-    shape = Shape(retries=Policy.MODEL)
-    model = Model(most=2, pause_ms=50.0, least_ms=20.0, budget=0.4)
-    engine = offer(plan(calls, shape, Left({})), answerer.port, shape, model=model)
+    options = ReplayOptions(retries=RetryPolicy.MODEL)
+    model = RetryModel(most=2, pause_ms=50.0, least_ms=20.0, budget=0.4)
+    engine = offer(plan(calls, options, SkippedCalls({})), answerer.port, options, model=model)
     answerer.end()
     told = summary(engine.report)
     assert told["retries"] == 10 and told["retries_denied"] > 0 and len(answerer.seen.invites) == 35
@@ -223,8 +228,8 @@
 
 def test_what_passes_the_limits_is_shed_and_reported(calls: list[CallRecord]) -> None:
     answerer = Answerer(Behaviour(answer_ms=400.0))
-    made = [replace(one, at_ms=one.at_ms / 20) for one in plan(calls, Shape(), Left({}))]
-    engine = offer(made, answerer.port, limits=Limits(outstanding=10))
+    made = [replace(one, at_ms=one.at_ms / 20) for one in plan(calls, ReplayOptions(), SkippedCalls({}))]
+    engine = offer(made, answerer.port, limits=ReplayLimits(outstanding=10))
     answerer.end()
     told = summary(engine.report)
     assert told["shed"] == {"too many calls without an answer": 15} and told["calls"] == 25
@@ -233,8 +238,8 @@
 
 def test_a_peer_that_falls_silent_shifts_no_arrival(calls: list[CallRecord]) -> None:
     answerer = Answerer(Behaviour(silent_after=5))
-    made = [replace(one, patience_ms=200.0) for one in plan(calls, Shape(), Left({}))]
-    engine = Replay(made, ("127.0.0.1", answerer.port), Shape(), t1_ms=10.0)
+    made = [replace(one, patience_ms=200.0) for one in plan(calls, ReplayOptions(), SkippedCalls({}))]
+    engine = Replay(made, ("127.0.0.1", answerer.port), ReplayOptions(), t1_ms=10.0)
     began = time.monotonic()
     told = summary(engine.run())
     arrivals = answerer.seen.at.values()
@@ -245,8 +250,11 @@
 
 def test_a_port_that_is_shut_gives_each_call_its_outcome(calls: list[CallRecord]) -> None:
     for transport in ("TCP", "UDP"):
-        made = [replace(one, patience_ms=100.0) for one in plan(calls, Shape(transport=transport), Left({}))]
-        engine = Replay(made, ("127.0.0.1", free_port()), Shape(), t1_ms=5.0)
+        made = [
+            replace(one, patience_ms=100.0)
+            for one in plan(calls, ReplayOptions(transport=transport), SkippedCalls({}))
+        ]
+        engine = Replay(made, ("127.0.0.1", free_port()), ReplayOptions(), t1_ms=5.0)
         told = summary(engine.run())
         assert told["calls"] == 25 and told["outcomes"] == {"unanswered": 25}
         assert sum(told["errors"].values()) == 25
@@ -254,8 +262,8 @@
 
 def test_a_connection_that_is_reset_mid_replay(calls: list[CallRecord]) -> None:
     listener = socket.create_server(("127.0.0.1", 0))
-    made = plan(calls, Shape(transport="TCP"), Left({}))
-    engine = Replay(made, listener.getsockname(), Shape(), t1_ms=10.0)
+    made = plan(calls, ReplayOptions(transport="TCP"), SkippedCalls({}))
+    engine = Replay(made, listener.getsockname(), ReplayOptions(), t1_ms=10.0)
 
     def cut() -> None:
         while True:
@@ -278,7 +286,7 @@
 def test_a_state_of_another_plan_or_a_torn_one_is_refused(tmp_path: Path) -> None:
     path = tmp_path / "state"
     assert progress.load(path, "a") is None
-    progress.save(path, progress.State(progress.VERSION, "a", 5.0, 3, {0: "stood 200", 2: "x"}))
+    progress.save(path, progress.ReplayState(progress.VERSION, "a", 5.0, 3, {0: "stood 200", 2: "x"}))
     state = progress.load(path, "a")
     assert state is not None and progress.in_flight(state) == [1]
     with pytest.raises(ConfigError, match="another replay"):
@@ -292,7 +300,7 @@
 
 def test_a_full_disk_leaves_the_old_state(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "state"
-    old = progress.State(progress.VERSION, "a", 0.0, 1, {})
+    old = progress.ReplayState(progress.VERSION, "a", 0.0, 1, {})
     progress.save(path, old)
 
     def full(_fd: int) -> None:
@@ -300,7 +308,7 @@
 
     monkeypatch.setattr(os, "fsync", full)
     with pytest.raises(OSError, match="No space"):
-        progress.save(path, progress.State(progress.VERSION, "a", 9.0, 9, {}))
+        progress.save(path, progress.ReplayState(progress.VERSION, "a", 9.0, 9, {}))
     assert progress.load(path, "a") == old and list(tmp_path.iterdir()) == [path]
 
 
