--- a/landingdeal/capture/limits.py
+++ b/landingdeal/capture/limits.py
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayLimits:
-    outstanding: int = 10_000  # calls without a final answer
-    standing: int = 50_000
-    per_s: float = 5_000.0  # first messages, tries again included
+    max_pending: int = 10_000  # calls without a final answer
+    max_established: int = 50_000
+    max_per_s: float = 5_000.0  # first messages, tries again included
     burst: float = 500.0
-    backoff_ms: float = 100.0  # after the first failure to connect; doubles
-    backoff_most_ms: float = 5_000.0
+    initial_backoff_ms: float = 100.0  # after the first failure to connect; doubles
+    max_backoff_ms: float = 5_000.0
 
 
 class AdmissionControl:
@@ -24,30 +24,32 @@
 
     def __init__(self, limits: ReplayLimits) -> None:
         self.limits = limits
-        self.waiting = self.standing = 0
-        self._room, self._at_ms = limits.burst, 0.0
+        self.pending = self.established = 0
+        self._tokens, self._refilled_at_ms = limits.burst, 0.0
 
-    def objection(self, now_ms: float) -> str:
+    def shed_reason(self, now_ms: float) -> str:
         limits = self.limits
-        self._room = min(self._room + max(now_ms - self._at_ms, 0.0) / 1000 * limits.per_s, limits.burst)
-        self._at_ms = max(now_ms, self._at_ms)
-        if self.waiting >= limits.outstanding:
+        self._tokens = min(
+            self._tokens + max(now_ms - self._refilled_at_ms, 0.0) / 1000 * limits.max_per_s, limits.burst
+        )
+        self._refilled_at_ms = max(now_ms, self._refilled_at_ms)
+        if self.pending >= limits.max_pending:
             return "too many calls without an answer"
-        if self.standing >= limits.standing:
+        if self.established >= limits.max_established:
             return "too many calls that stand"
-        if self._room < 1:
+        if self._tokens < 1:
             return "too many a second"
-        self._room -= 1
-        self.waiting += 1
+        self._tokens -= 1
+        self.pending += 1
         return ""
 
-    def answered(self, stands: bool) -> None:
-        self.waiting -= 1
-        self.standing += stands
+    def answered(self, is_established: bool) -> None:
+        self.pending -= 1
+        self.established += is_established
 
-    def ended(self) -> None:
+    def call_ended(self) -> None:
         """A call that stood is over."""
-        self.standing -= 1
+        self.established -= 1
 
 
 class ConnectBackoff:
@@ -56,15 +58,15 @@
     def __init__(self, limits: ReplayLimits) -> None:
         self.limits = limits
         self.failures = 0
-        self.until_ms = float("-inf")
+        self.blocked_until_ms = float("-inf")
 
     def failed(self, now_ms: float) -> None:
-        pause = min(self.limits.backoff_ms * 2.0**self.failures, self.limits.backoff_most_ms)
+        delay_ms = min(self.limits.initial_backoff_ms * 2.0**self.failures, self.limits.max_backoff_ms)
         self.failures = min(self.failures + 1, 32)
-        self.until_ms = now_ms + pause
+        self.blocked_until_ms = now_ms + delay_ms
 
-    def reached(self) -> None:
-        self.failures, self.until_ms = 0, float("-inf")
+    def connected(self) -> None:
+        self.failures, self.blocked_until_ms = 0, float("-inf")
 
-    def shut(self, now_ms: float) -> bool:
-        return now_ms < self.until_ms
+    def blocked(self, now_ms: float) -> bool:
+        return now_ms < self.blocked_until_ms
--- a/landingdeal/capture/plan.py
+++ b/landingdeal/capture/plan.py
@@ -15,7 +15,7 @@
 from landingdeal.sip.message import Message
 
 BLOCK = 4096  # calls whose copies are drawn at once
-HOLD_MOST_MS = 24 * 3600 * 1000.0
+MAX_HOLD_MS = 24 * 3600 * 1000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,13 +27,13 @@
 
     index: int  # in the order of the plan; what a resumed replay counts by
     number: int  # of the call in the capture
-    copy: int
+    copy_number: int
     at_ms: float
     invite: Message
     transport: str
     class_name: str
     patience_ms: float
-    cancel_ms: float  # after the INVITE
+    cancel_after_ms: float  # after the INVITE
     hold_ms: float  # after the final answer, until this side's BYE; -1: the other side ends it
     recorded_ms: float  # after the INVITE, the final answer
     recorded_status: int
@@ -42,7 +42,7 @@
 
     @property
     def name(self) -> str:
-        return f"{self.number}" if not self.copy else f"{self.number}.{self.copy}"
+        return f"{self.number}" if not self.copy_number else f"{self.number}.{self.copy_number}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,14 +58,14 @@
     linger_ms: float = 5000.0  # a call that the other side ended in the capture is ended by us so much later
 
 
-def playable(call: CallRecord) -> str:
+def skip_reason(call: CallRecord) -> str:
     """Why a call can't be offered; empty if it can."""
     if call.invite is None or call.begun_before:
         return "begun before the capture"
     return ""
 
 
-def planned(call: CallRecord, first_ns: int, options: ReplayOptions) -> PlannedCall:
+def planned_call(call: CallRecord, first_ns: int, options: ReplayOptions) -> PlannedCall:
     """The call as recorded."""
     assert call.invite is not None
     cancel = (call.cancel_ns - call.invite_ns) / 1e6 if call.cancel_ns >= 0 else -1.0
@@ -78,21 +78,21 @@
         else:
             hold = options.linger_ms  # its end is not in the capture
     return PlannedCall(
-        index=0, number=call.number, copy=0, at_ms=(call.invite_ns - first_ns) / 1e6 / options.speed,
+        index=0, number=call.number, copy_number=0, at_ms=(call.invite_ns - first_ns) / 1e6 / options.speed,
         invite=call.invite, transport=options.transport or call.transport, class_name=call.class_name,
-        patience_ms=call.patience_ms, cancel_ms=cancel, hold_ms=min(hold, HOLD_MOST_MS),
+        patience_ms=call.patience_ms, cancel_after_ms=cancel, hold_ms=min(hold, MAX_HOLD_MS),
         recorded_ms=call.answer_ms, recorded_status=call.status, recorded_outcome=call.outcome,
         first_try=call.first_try,
     )  # fmt: skip
 
 
-def copies(one: PlannedCall, options: ReplayOptions) -> Iterator[PlannedCall]:
+def with_copies(call: PlannedCall, options: ReplayOptions) -> Iterator[PlannedCall]:
     """The call and its copies: each with an identity of its own, started a little later."""
-    yield one
-    random_ = random.Random(f"{options.seed}/{one.number}")
-    for copy in range(1, options.scale):
-        later = random_.expovariate(1.0) * options.spread_ms / options.speed
-        yield replace(one, copy=copy, at_ms=one.at_ms + later)
+    yield call
+    rng = random.Random(f"{options.seed}/{call.number}")
+    for copy_number in range(1, options.scale):
+        delay_ms = rng.expovariate(1.0) * options.spread_ms / options.speed
+        yield replace(call, copy_number=copy_number, at_ms=call.at_ms + delay_ms)
 
 
 @dataclass(slots=True)
@@ -101,42 +101,42 @@
 
     reasons: dict[str, int]
 
-    def add(self, why: str) -> None:
-        self.reasons[why] = self.reasons.get(why, 0) + 1
+    def add(self, reason: str) -> None:
+        self.reasons[reason] = self.reasons.get(reason, 0) + 1
 
 
 def plan(
-    calls: Iterable[CallRecord], options: ReplayOptions, left: SkippedCalls, first_ns: int | None = None
+    calls: Iterable[CallRecord], options: ReplayOptions, skipped: SkippedCalls, first_ns: int | None = None
 ) -> list[PlannedCall]:
     """All calls in the order in which they are offered, numbered; `left` counts those that can't be."""
     found: list[CallRecord] = []
     for call in calls:
-        why = playable(call)
-        if not why and call.first_try and options.retries is not RetryPolicy.RECORDED:
-            why = "a try again"
-        if why:
-            left.add(why)
+        reason = skip_reason(call)
+        if not reason and call.first_try and options.retries is not RetryPolicy.RECORDED:
+            reason = "a try again"
+        if reason:
+            skipped.add(reason)
         else:
             found.append(call)
     if not found:
         return []
     start = min(call.invite_ns for call in found) if first_ns is None else first_ns
-    made = [one for call in found for one in copies(planned(call, start, options), options)]
-    made.sort(key=lambda one: (one.at_ms, one.number, one.copy))
-    return [replace(one, index=index) for index, one in enumerate(made)]
+    planned = [entry for call in found for entry in with_copies(planned_call(call, start, options), options)]
+    planned.sort(key=lambda entry: (entry.at_ms, entry.number, entry.copy_number))
+    return [replace(entry, index=index) for index, entry in enumerate(planned)]
 
 
-def identity(one: PlannedCall, tries: int, seed: int) -> tuple[str, str]:
+def identity(call: PlannedCall, try_number: int, seed: int) -> tuple[str, str]:
     """Call-ID and From tag of one try of a planned call: the same on every run with the same seed."""
-    random_ = random.Random(f"{seed}/{one.number}/{one.copy}/{tries}")
-    return f"{random_.getrandbits(64):016x}", f"r{random_.getrandbits(32):08x}"
+    rng = random.Random(f"{seed}/{call.number}/{call.copy_number}/{try_number}")
+    return f"{rng.getrandbits(64):016x}", f"r{rng.getrandbits(32):08x}"
 
 
-def fingerprint(made: Sequence[PlannedCall]) -> str:
+def fingerprint(calls: Sequence[PlannedCall]) -> str:
     """What a saved state belongs to: two plans with the same one offer the same calls at the same times."""
     import xxhash
 
     digest = xxhash.xxh3_128()
-    for one in made:
-        digest.update(f"{one.number}.{one.copy}@{one.at_ms:.3f} {one.invite.call_id}\n".encode())
+    for call in calls:
+        digest.update(f"{call.number}.{call.copy_number}@{call.at_ms:.3f} {call.invite.call_id}\n".encode())
     return digest.hexdigest()
--- a/landingdeal/capture/player.py
+++ b/landingdeal/capture/player.py
@@ -17,8 +17,8 @@
 from landingdeal.sip.message import Message, request, response
 from landingdeal.sip.transaction import ClientTransaction, Flow, Layer, ServerTransaction, State, within
 
-PATIENCE_MS = 32_000.0  # where the capture tells none
-OWN = frozenset((
+DEFAULT_PATIENCE_MS = 32_000.0  # where the capture tells none
+REPLACED_HEADERS = frozenset((
     "via", "from", "to", "call-id", "cseq", "contact", "route", "record-route", "max-forwards",
     "content-length", "proxy-authorization", "authorization",
 ))  # fmt: skip
@@ -28,7 +28,7 @@
 class ReplayAddresses:
     """Where the load goes, and where it comes from."""
 
-    to: tuple[str, int]
+    remote: tuple[str, int]
     local: tuple[str, int]
 
 
@@ -36,16 +36,16 @@
 class ReplayResult:
     """What became of one try. Spans in milliseconds from when its INVITE was due; -1: did not happen."""
 
-    offered: PlannedCall
-    tries: int
+    planned: PlannedCall
+    try_number: int
     late_ms: float  # by so much the INVITE left after its plan
     status: int = 0
     answer_ms: float = -1.0
     outcome: Outcome = Outcome.UNANSWERED
-    later_ms: float = 0.0
+    retry_after_ms: float = 0.0
     ended_by: str = ""  # us, them, or nobody
     error: str = ""
-    finals: int = 0  # final answers to the INVITE; more than one breaks the first rule
+    final_answers: int = 0  # final answers to the INVITE; more than one breaks the first rule
 
 
 class CallPlayer:
@@ -55,67 +55,68 @@
         self,
         layer: Layer,
         flow: Flow,
-        target: ReplayAddresses,
-        offered: PlannedCall,
-        tries: int,
+        addresses: ReplayAddresses,
+        planned: PlannedCall,
+        try_number: int,
         seed: int,
-        over: Callable[[CallPlayer], None],
-        answered: Callable[[CallPlayer], None] = lambda player: None,
+        on_finished: Callable[[CallPlayer], None],
+        on_answered: Callable[[CallPlayer], None] = lambda player: None,
     ) -> None:
-        self.layer, self.flow, self.target, self.offered = layer, flow, target, offered
-        self.call_id, self.tag = identity(offered, tries, seed)
-        self.over, self.answered = over, answered
-        self.result = ReplayResult(offered, tries, 0.0)
+        self.layer, self.flow, self.addresses, self.planned = layer, flow, addresses, planned
+        self.call_id, self.tag = identity(planned, try_number, seed)
+        self.on_finished, self.on_answered = on_finished, on_answered
+        self.result = ReplayResult(planned, try_number, 0.0)
         self.transaction: ClientTransaction | None = None  # of the INVITE
-        self.cancelling: ClientTransaction | None = None
-        self.ending: ClientTransaction | None = None
+        self.cancel_transaction: ClientTransaction | None = None
+        self.bye_transaction: ClientTransaction | None = None
         self.dialog: Dialog | None = None
-        self.provisional = self.cancelled = self.ended = False
+        self.provisional_received = self.cancelled = self.ended = False
         self.requests: dict[tuple[int, str], ServerTransaction] = {}
-        self.began_ms = 0.0
-        self.branches = 0
+        self.start_ms = 0.0
+        self.branch_count = 0
 
     # --- out ---
 
     def start(self, planned_ms: float) -> None:
-        self.began_ms = planned_ms
+        self.start_ms = planned_ms
         self.result.late_ms = self.layer.now() - planned_ms
-        self.transaction = self._client(self._invite(), self._on_invite)
+        self.transaction = self._start_client(self._invite(), self._on_invite_response)
         if self.ended:
             return
-        if self.offered.cancel_ms >= 0:
-            self.layer.at(planned_ms + self.offered.cancel_ms, self.cancel)
-        patience = self.offered.patience_ms or PATIENCE_MS
+        if self.planned.cancel_after_ms >= 0:
+            self.layer.at(planned_ms + self.planned.cancel_after_ms, self.cancel)
+        patience = self.planned.patience_ms or DEFAULT_PATIENCE_MS
         self.layer.at(planned_ms + patience, self.cancel)
         # after that nothing is awaited for longer than a transaction lasts
-        self.layer.at(planned_ms + patience + self.layer.timing.b, self._give_up)
+        self.layer.at(planned_ms + patience + self.layer.timing.b, self._expire)
 
     def _via(self) -> str:
-        self.branches += 1
-        host, port = self.target.local
-        return f"SIP/2.0/{self.flow.kind} {host}:{port};branch=z9hG4bK{self.call_id}{self.branches};rport"
+        self.branch_count += 1
+        host, port = self.addresses.local
+        return f"SIP/2.0/{self.flow.kind} {host}:{port};branch=z9hG4bK{self.call_id}{self.branch_count};rport"
 
     def _contact(self) -> tuple[str, str]:
-        host, port = self.target.local
+        host, port = self.addresses.local
         suffix = ";transport=tcp" if self.flow.kind == "TCP" else ""
         return "contact", f"<sip:replay@{host}:{port}{suffix}>"
 
     def _invite(self) -> Message:
-        recorded, (host, port) = self.offered.invite, self.target.to
+        recorded, (host, port) = self.planned.invite, self.addresses.remote
         try:
             user = parse_uri(recorded.uri).user
             caller = parse_uri(parse_name_addr(recorded.get("from")).uri).user
         except BadAddress:
             user, caller = "", ""
         uri = f"sip:{user}@{host}:{port}" if user else f"sip:{host}:{port}"
-        mine = f"<sip:{caller or 'replay'}@{self.target.local[0]}>;tag={self.tag}"
-        kept = tuple(header for header in recorded.headers if header[0] not in OWN)
+        from_value = f"<sip:{caller or 'replay'}@{self.addresses.local[0]}>;tag={self.tag}"
+        copied_headers = tuple(header for header in recorded.headers if header[0] not in REPLACED_HEADERS)
         return request(
-            "INVITE", uri, ("via", self._via()), ("max-forwards", "70"), ("from", mine), ("to", f"<{uri}>"),
-            ("call-id", self.call_id), ("cseq", "1 INVITE"), self._contact(), *kept, body=recorded.body,
+            "INVITE", uri, ("via", self._via()), ("max-forwards", "70"), ("from", from_value),
+            ("to", f"<{uri}>"), ("call-id", self.call_id), ("cseq", "1 INVITE"), self._contact(),
+            *copied_headers, body=recorded.body,
         )  # fmt: skip
 
-    def _client(self, made: Message, on_response: Callable[[Message], None]) -> ClientTransaction:
+    def _start_client(self, made: Message, on_response: Callable[[Message], None]) -> ClientTransaction:
         branch = made.get("via").partition("branch=")[2].partition(";")[0]
         transaction = ClientTransaction(self.layer, self.flow, made, f"{branch}|{made.method}", on_response)
         transaction.start()
@@ -124,15 +125,17 @@
     def cancel(self) -> None:
         """The caller has no more patience, or gave up at this point in the capture."""
         transaction = self.transaction
-        if self.cancelled or self.ended or transaction is None or self.result.finals:
+        if self.cancelled or self.ended or transaction is None or self.result.final_answers:
             return
         self.cancelled = True
-        if self.provisional:  # else it has to wait for a provisional response (9.1)
+        if self.provisional_received:  # else it has to wait for a provisional response (9.1)
             self._send_cancel()
 
     def _send_cancel(self) -> None:
         assert self.transaction is not None
-        self.cancelling = self._client(within(self.transaction.request, "CANCEL"), lambda message: None)
+        self.cancel_transaction = self._start_client(
+            within(self.transaction.request, "CANCEL"), lambda message: None
+        )
 
     def bye(self) -> None:
         if self.dialog is None or self.dialog.over or self.ended:
@@ -140,31 +143,31 @@
         self.dialog.over = True
         self.result.ended_by = "us"
         made = self.dialog.make("BYE", self._via(), ("reason", "Q.850;cause=16"))
-        self.ending = self._client(made, self._on_bye)
+        self.bye_transaction = self._start_client(made, self._on_bye_response)
 
-    def _on_bye(self, message: Message) -> None:
+    def _on_bye_response(self, message: Message) -> None:
         if message.status >= 200:
-            self._end()
+            self._finish()
 
     # --- in ---
 
-    def _on_invite(self, message: Message) -> None:
+    def _on_invite_response(self, message: Message) -> None:
         status = message.status
         if status < 200:
-            self.provisional = True
-            if self.cancelled and self.cancelling is None:
+            self.provisional_received = True
+            if self.cancelled and self.cancel_transaction is None:
                 self._send_cancel()
             return
-        again = self.dialog is not None and 200 <= status < 300
-        if again:
-            self._again(message)
+        repeated = self.dialog is not None and 200 <= status < 300
+        if repeated:
+            self._on_repeated_2xx(message)
             return
-        self.result.finals += 1
+        self.result.final_answers += 1
         self.result.status = status
-        self.result.answer_ms = self.layer.now() - self.began_ms
-        self.result.later_ms = later_of(message)
+        self.result.answer_ms = self.layer.now() - self.start_ms
+        self.result.retry_after_ms = retry_after_of(message)
         if 200 <= status < 300:
-            self._stands(message)
+            self._establish(message)
         else:
             withdrawn = self.cancelled and status == 487
             timed_out = not message.get("via")  # made by our own timers
@@ -173,31 +176,31 @@
                 self.result.outcome, self.result.status = Outcome.UNANSWERED, 0
                 self.result.error = "no answer" if status == 408 else "the connection failed"
                 self.result.answer_ms = -1.0
-            self.answered(self)
-            self._end()
+            self.on_answered(self)
+            self._finish()
 
-    def _stands(self, message: Message) -> None:
+    def _establish(self, message: Message) -> None:
         assert self.transaction is not None
         self.result.outcome = Outcome.STOOD
         self.dialog = Dialog(self.transaction.request, message, self.flow, True)
-        self._ack()
-        self.answered(self)
+        self._send_ack()
+        self.on_answered(self)
         if self.cancelled:  # it crossed our CANCEL: what stands for nobody is ended
             self.bye()
         else:
-            self.layer.at(self.layer.now() + max(self.offered.hold_ms, 0.0), self.bye)
+            self.layer.at(self.layer.now() + max(self.planned.hold_ms, 0.0), self.bye)
 
-    def _again(self, message: Message) -> None:
+    def _on_repeated_2xx(self, message: Message) -> None:
         """A 2xx once more: its ACK got lost; or that of another fork, which is ended (13.2.2.4)."""
         assert self.dialog is not None and self.transaction is not None
-        other = Dialog(self.transaction.request, message, self.flow, True)
-        if other.key == self.dialog.key:
-            self._ack()
+        repeated_dialog = Dialog(self.transaction.request, message, self.flow, True)
+        if repeated_dialog.key == self.dialog.key:
+            self._send_ack()
             return
-        self.flow.send(other.make("ACK", self._via(), seq=other.invite_seq))
-        self._client(other.make("BYE", self._via()), lambda message: None)
+        self.flow.send(repeated_dialog.make("ACK", self._via(), seq=repeated_dialog.invite_seq))
+        self._start_client(repeated_dialog.make("BYE", self._via()), lambda message: None)
 
-    def _ack(self) -> None:
+    def _send_ack(self) -> None:
         assert self.dialog is not None
         self.flow.send(self.dialog.make("ACK", self._via(), seq=self.dialog.invite_seq))
 
@@ -205,35 +208,35 @@
         """Any response of this call: found by branch and method (17.1.3)."""
         branch = message.get("via").partition("branch=")[2].partition(";")[0]
         key = f"{branch}|{message.cseq[1]}"
-        for transaction in (self.transaction, self.cancelling, self.ending):
+        for transaction in (self.transaction, self.cancel_transaction, self.bye_transaction):
             if transaction is not None and transaction.key == key:
                 transaction.received(message)
 
     def request(self, message: Message) -> None:
         """A request of the other side within this call."""
         key = message.cseq
-        known = self.requests.get(key)
-        if known is not None:
-            known.retransmitted()
+        known_transaction = self.requests.get(key)
+        if known_transaction is not None:
+            known_transaction.retransmitted()
             return
         if message.method == "ACK":
             return
-        server = self.requests[key] = ServerTransaction(self.layer, self.flow, message, f"{key}")
+        transaction = self.requests[key] = ServerTransaction(self.layer, self.flow, message, f"{key}")
         if len(self.requests) > 32:
             del self.requests[next(iter(self.requests))]
         match message.method:
             case "BYE" if self.dialog is not None:
-                server.respond(response(message, 200))
+                transaction.respond(response(message, 200))
                 if not self.dialog.over:
                     self.dialog.over = True
                     self.result.ended_by = "them"
-                    self._end()
+                    self._finish()
             case "OPTIONS" | "INFO" | "NOTIFY" if self.dialog is not None:
-                server.respond(response(message, 200))
+                transaction.respond(response(message, 200))
             case "INVITE" | "UPDATE" if self.dialog is not None:
-                server.respond(response(message, 488))  # the capture holds no second description
+                transaction.respond(response(message, 488))  # the capture holds no second description
             case _:
-                server.respond(response(message, 481))
+                transaction.respond(response(message, 481))
 
     def failed(self) -> None:
         """The connection is gone."""
@@ -242,23 +245,23 @@
             transaction.failed()
         elif not self.ended and self.dialog is not None:
             self.result.error = self.result.error or "the connection ended while the call stood"
-            self._end()
+            self._finish()
 
-    def _give_up(self) -> None:
-        if not self.ended and not self.result.finals:
+    def _expire(self) -> None:
+        if not self.ended and not self.result.final_answers:
             assert self.transaction is not None
             self.transaction.terminate()
             self.result.error = "no final answer"
-            self.answered(self)
-            self._end()
+            self.on_answered(self)
+            self._finish()
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         if not self.ended:
             self.ended = True
-            self.over(self)
+            self.on_finished(self)
 
 
-def later_of(message: Message) -> float:
+def retry_after_of(message: Message) -> float:
     """The time to stay away that a refusal tells, in milliseconds; 0 where it tells none."""
     told = message.get("x-later-ms").strip()
     if told.isascii() and told.isdecimal() and len(told) <= 9:
--- a/landingdeal/capture/replay.py
+++ b/landingdeal/capture/replay.py
@@ -29,11 +29,11 @@
 from landingdeal.sip.transaction import Timing
 from landingdeal.threads import start_thread
 
-AHEAD_MS = 1000.0  # calls that are due so soon are written down before they are sent
-SAVE_MS = 250.0
-DIAL_MS = 2000.0
-CONNECTIONS_MOST = 64
-START_MS = 100.0  # after the start: everything is there before the first call is due
+SAVE_AHEAD_MS = 1000.0  # calls that are due so soon are written down before they are sent
+SAVE_INTERVAL_MS = 250.0
+DIAL_TIMEOUT_MS = 2000.0
+MAX_CONNECTIONS = 64
+START_DELAY_MS = 100.0  # after the start: everything is there before the first call is due
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
     skipped: int = 0  # calls that an earlier run had offered
     retries: int = 0
     retries_denied: int = 0
-    strays: int = 0  # messages of no call of ours
+    unmatched_messages: int = 0  # messages of no call of ours
     stopped: bool = False
 
 
@@ -93,48 +93,48 @@
 
     kind, reliable = "TCP", True
 
-    def __init__(self, target: tuple[str, int], engine: Replay) -> None:
-        self.target, self.engine = target, engine
+    def __init__(self, target: tuple[str, int], replay: Replay) -> None:
+        self.target, self.replay = target, replay
         host = "::1" if ":" in target[0] else "127.0.0.1"
         self.sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
         self.sock.bind((host, 0))  # Via and Contact name our port before the connection is up
         self.local: tuple[str, int] = self.sock.getsockname()[:2]
         self.link: Link | None = None
-        self.held: list[Message] = []
+        self.queued: list[Message] = []
         self.players: dict[str, CallPlayer] = {}
         self.alive, self.was_up = True, False
 
     def dial(self) -> None:
         """In a thread of its own."""
         try:
-            connect(self.sock, self.target, now_ms() + DIAL_MS)
+            connect(self.sock, self.target, now_ms() + DIAL_TIMEOUT_MS)
         except OSError:
             self.sock.close()
-            self.engine.loop.post(lambda: self.engine.unreachable(self))
+            self.replay.loop.post(lambda: self.replay.connect_failed(self))
             return
-        link = Link(self.sock, lambda _, message: self._message(message), lambda _, __: self._ended())
-        self.engine.loop.post(lambda: self._up(link))
+        link = Link(self.sock, lambda _, message: self._received(message), lambda _, __: self._closed())
+        self.replay.loop.post(lambda: self._connected(link))
 
-    def _up(self, link: Link) -> None:
+    def _connected(self, link: Link) -> None:
         self.link, self.was_up = link, True
         link.start()
-        self.engine.reached()
-        held, self.held = self.held, []
-        for message in held:
+        self.replay.connected()
+        queued, self.queued = self.queued, []
+        for message in queued:
             link.send(message)
 
-    def _message(self, message: Message | Malformed) -> None:
+    def _received(self, message: Message | Malformed) -> None:
         if isinstance(message, Message):
-            self.engine.received(message)
+            self.replay.received(message)
 
-    def _ended(self) -> None:
-        self.engine.loop.post(lambda: self.engine.lost(self))
+    def _closed(self) -> None:
+        self.replay.loop.post(lambda: self.replay.connection_lost(self))
 
     def send(self, message: Message) -> None:
         if self.link is not None:
             self.link.send(message)
         elif self.alive:
-            self.held.append(message)
+            self.queued.append(message)
 
     def close(self) -> None:
         if self.link is not None:
@@ -160,17 +160,17 @@
         self.retries = RetryScheduler(options.retries, model, random.Random(options.seed))
         self.report = ReplayReport()
         self.players: dict[str, CallPlayer] = {}  # by Call-ID
-        self.done: dict[int, str] = {}
-        self.next = 0
+        self.outcomes: dict[int, str] = {}
+        self.next_index = 0
         self.pending = 0  # tries that are out or to come
         self.finished = threading.Event()
         self.udp: _UdpFlow | None = None
         self.tcp: dict[int, _TcpFlow] = {}
         self.state_file = state_file
         self.fingerprint = fingerprint(plan) if state_file is not None else ""
-        self.base_ms = 0.0  # the plan's clock where this run begins
-        self.reserved = len(plan)  # calls that may be offered: all, unless a state is kept
-        self.began_ms = 0.0
+        self.start_offset_ms = 0.0  # the plan's clock where this run begins
+        self.reserved_count = len(plan)  # calls that may be offered: all, unless a state is kept
+        self.start_ms = 0.0
 
     # --- the layer that transactions need ---
 
@@ -189,12 +189,12 @@
         """Raises ConfigError on a state that is not of this plan, and OSError."""
         if self.state_file is not None:
             self._resume(self.state_file)
-        if any(one.transport == "UDP" for one in self.plan):
+        if any(call.transport == "UDP" for call in self.plan):
             self.udp = _UdpFlow(self.target, self.received)
-        self.began_ms = now_ms() + START_MS
+        self.start_ms = now_ms() + START_DELAY_MS
         self.loop.start()
         if self.state_file is not None:
-            start_thread("replay-state", lambda: self._save_always(self.state_file or Path()))
+            start_thread("replay-state", lambda: self._save_periodically(self.state_file or Path()))
         self.loop.post(self._offer_due)
         while not self.finished.is_set():
             self.finished.wait(seconds_until(now_ms() + 200))
@@ -211,57 +211,61 @@
         self.report.stopped = True
         self.finished.set()
 
-    def _due_ms(self, one: PlannedCall) -> float:
-        return self.began_ms + one.at_ms - self.base_ms
+    def _due_ms(self, call: PlannedCall) -> float:
+        return self.start_ms + call.at_ms - self.start_offset_ms
 
     def _offer_due(self) -> None:
         """Offers what is due, and comes again for the next: the heap never holds the whole plan."""
-        while self.next < len(self.plan):
-            one = self.plan[self.next]
-            due = self._due_ms(one)
-            if due > self.loop.now():
-                self.loop.at(due, self._offer_due)
+        while self.next_index < len(self.plan):
+            call = self.plan[self.next_index]
+            due_ms = self._due_ms(call)
+            if due_ms > self.loop.now():
+                self.loop.at(due_ms, self._offer_due)
                 return
-            if self.next >= self.reserved:  # not written down yet: the disk is slow
+            if self.next_index >= self.reserved_count:  # not written down yet: the disk is slow
                 self.loop.at(self.loop.now() + 1, self._offer_due)
                 return
-            self.next += 1
-            if self.retries.leaves_out(one.first_try > 0):
-                self._conclude(one, "left out")
+            self.next_index += 1
+            if self.retries.skips(call.first_try > 0):
+                self._mark_done(call, "left out")
                 continue
-            self.retries.offered()
-            self._try(one, 1, due)
-        self._look()
+            self.retries.count_first_try()
+            self._start_try(call, 1, due_ms)
+        self._check_finished()
 
-    def _try(self, one: PlannedCall, tries: int, due: float) -> None:
+    def _start_try(self, call: PlannedCall, try_number: int, due_ms: float) -> None:
         self.pending += 1
-        why = self.admission.objection(self.loop.now())
-        if why:
-            self.report.shed[why] += 1
-            self._result(ReplayResult(one, tries, self.loop.now() - due, error=f"shed: {why}"))
+        reason = self.admission.shed_reason(self.loop.now())
+        if reason:
+            self.report.shed[reason] += 1
+            self._record_result(
+                ReplayResult(call, try_number, self.loop.now() - due_ms, error=f"shed: {reason}")
+            )
             return
-        flow = self._flow(one)
+        flow = self._select_flow(call)
         if flow is None:
             self.admission.answered(False)
-            self._result(
-                ReplayResult(one, tries, self.loop.now() - due, error="the address can't be reached")
+            self._record_result(
+                ReplayResult(call, try_number, self.loop.now() - due_ms, error="the address can't be reached")
             )
             return
-        target = ReplayAddresses(self.target, flow.local)
-        player = CallPlayer(self, flow, target, one, tries, self.options.seed, self._over, self._answered)
+        addresses = ReplayAddresses(self.target, flow.local)
+        player = CallPlayer(
+            self, flow, addresses, call, try_number, self.options.seed, self._on_finished, self._on_answered
+        )
         self.players[player.call_id] = player
         if isinstance(flow, _TcpFlow):
             flow.players[player.call_id] = player
-        player.start(due)
+        player.start(due_ms)
 
-    def _flow(self, one: PlannedCall) -> _UdpFlow | _TcpFlow | None:
+    def _select_flow(self, call: PlannedCall) -> _UdpFlow | _TcpFlow | None:
         """Calls from one recorded address share a connection; None while the address is left alone."""
-        if one.transport == "UDP":
+        if call.transport == "UDP":
             return self.udp
-        key = zlib.crc32(f"{one.invite.get('contact')}/{one.copy}".encode()) % CONNECTIONS_MOST
+        key = zlib.crc32(f"{call.invite.get('contact')}/{call.copy_number}".encode()) % MAX_CONNECTIONS
         flow = self.tcp.get(key)
         if flow is None or not flow.alive:
-            if self.backoff.shut(self.loop.now()):
+            if self.backoff.blocked(self.loop.now()):
                 return None
             flow = self.tcp[key] = _TcpFlow(self.target, self)
             start_thread("replay-dial", flow.dial)
@@ -271,71 +275,71 @@
 
     def received(self, message: Message) -> None:
         """From readers' threads."""
-        self.loop.post(lambda: self._received(message))
+        self.loop.post(lambda: self._dispatch(message))
 
-    def _received(self, message: Message) -> None:
+    def _dispatch(self, message: Message) -> None:
         player = self.players.get(message.call_id)
         if player is None:
-            self.report.strays += 1
+            self.report.unmatched_messages += 1
         elif message.status:
             player.response(message)
         else:
             player.request(message)
 
-    def reached(self) -> None:
-        self.backoff.reached()
+    def connected(self) -> None:
+        self.backoff.connected()
 
-    def unreachable(self, flow: _TcpFlow) -> None:
+    def connect_failed(self, flow: _TcpFlow) -> None:
         self.backoff.failed(self.loop.now())
-        self.lost(flow)
+        self.connection_lost(flow)
 
-    def lost(self, flow: _TcpFlow) -> None:
+    def connection_lost(self, flow: _TcpFlow) -> None:
         flow.alive = False
-        flow.held.clear()
+        flow.queued.clear()
         for player in list(flow.players.values()):
             player.failed()
 
-    def _answered(self, player: CallPlayer) -> None:
+    def _on_answered(self, player: CallPlayer) -> None:
         self.admission.answered(player.result.outcome is Outcome.STOOD)
 
-    def _over(self, player: CallPlayer) -> None:
+    def _on_finished(self, player: CallPlayer) -> None:
         result = player.result
         if result.outcome is Outcome.STOOD:
-            self.admission.ended()
+            self.admission.call_ended()
         # a late retransmission may still want its ACK: known for as long as a transaction lasts
         self.loop.at(self.loop.now() + min(self.timing.b, 2000.0), lambda: self._forget(player))
-        self._result(result)
+        self._record_result(result)
 
     def _forget(self, player: CallPlayer) -> None:
         self.players.pop(player.call_id, None)
         if isinstance(player.flow, _TcpFlow):
             player.flow.players.pop(player.call_id, None)
 
-    def _result(self, result: ReplayResult) -> None:
+    def _record_result(self, result: ReplayResult) -> None:
         self.pending -= 1
         self.report.results.append(result)
-        one, tries = result.offered, result.tries
+        call, try_number = result.planned, result.try_number
         if result.outcome is Outcome.REFUSED:
-            pause = self.retries.again(result.status, tries, result.later_ms)
-            if pause is not None:
-                due = self.loop.now() + pause
+            delay_ms = self.retries.retry_delay_ms(result.status, try_number, result.retry_after_ms)
+            if delay_ms is not None:
+                due_ms = self.loop.now() + delay_ms
                 self.pending += 1
 
-                def again() -> None:
+                def retry() -> None:
                     self.pending -= 1
-                    self._try(one, tries + 1, due)
+                    self._start_try(call, try_number + 1, due_ms)
 
-                self.loop.at(due, again)
+                self.loop.at(due_ms, retry)
                 return
-        self._conclude(one, result.error or f"{result.outcome.value} {result.status or ''}".strip())
-        self._look()
+        self._mark_done(call, result.error or f"{result.outcome.value} {result.status or ''}".strip())
+        self._check_finished()
 
-    def _conclude(self, one: PlannedCall, what: str) -> None:
+    def _mark_done(self, call: PlannedCall, outcome: str) -> None:
         if self.state_file is not None:
-            self.done[one.index] = what
+            self.outcomes[call.index] = outcome
 
-    def _look(self) -> None:
-        if self.next >= len(self.plan) and not self.pending:
+    def _check_finished(self) -> None:
+        if self.next_index >= len(self.plan) and not self.pending:
             self.finished.set()
 
     # --- progress ---
@@ -343,31 +347,31 @@
     def _resume(self, path: Path) -> None:
         state = progress.load(path, self.fingerprint)
         if state is not None:
-            self.next = self.report.skipped = state.started
-            self.done = dict(state.done)
+            self.next_index = self.report.skipped = state.started
+            self.outcomes = dict(state.done)
             self.report.left_in_flight = progress.in_flight(state)
             if state.started < len(self.plan):
                 # at once where the old run stopped: the first call that it had not written down
-                self.base_ms = self.plan[state.started].at_ms
-        self.reserved = self.next
+                self.start_offset_ms = self.plan[state.started].at_ms
+        self.reserved_count = self.next_index
 
-    def _save_always(self, path: Path) -> None:
+    def _save_periodically(self, path: Path) -> None:
         while not self.finished.is_set():
             self._save(path)
-            time.sleep(seconds_until(now_ms() + SAVE_MS))
+            time.sleep(seconds_until(now_ms() + SAVE_INTERVAL_MS))
 
     def _save(self, path: Path) -> None:
         """Writes down the calls that are due soon, and only then lets them go out."""
-        at = now_ms() - self.began_ms + self.base_ms
-        upto = self.reserved
-        while upto < len(self.plan) and self.plan[upto].at_ms <= at + AHEAD_MS:
-            upto += 1
+        at = now_ms() - self.start_ms + self.start_offset_ms
+        reserved_end = self.reserved_count
+        while reserved_end < len(self.plan) and self.plan[reserved_end].at_ms <= at + SAVE_AHEAD_MS:
+            reserved_end += 1
         if self.finished.is_set():
-            upto = max(self.next, 0)
-        done = dict(list(self.done.items()))
-        state = progress.ReplayState(progress.VERSION, self.fingerprint, at, upto, done)
+            reserved_end = max(self.next_index, 0)
+        outcomes = dict(list(self.outcomes.items()))
+        state = progress.ReplayState(progress.VERSION, self.fingerprint, at, reserved_end, outcomes)
         try:
             progress.save(path, state)
         except OSError:
             return  # a full disk: nothing more goes out until there is room
-        self.reserved = max(self.reserved, upto)
+        self.reserved_count = max(self.reserved_count, reserved_end)
--- a/landingdeal/capture/retries.py
+++ b/landingdeal/capture/retries.py
@@ -24,10 +24,10 @@
 class RetryModel:
     """What callers do after a refusal. Times in milliseconds."""
 
-    most: int = 3  # tries again of one call
-    least_ms: float = 300.0  # nothing goes out again sooner, whatever was told
-    pause_ms: float = 1000.0  # where the refusal told no time to stay away; doubles with each try
-    longest_ms: float = 30_000.0
+    max_retries: int = 3  # tries again of one call
+    min_delay_ms: float = 300.0  # nothing goes out again sooner, whatever was told
+    initial_delay_ms: float = 1000.0  # where the refusal told no time to stay away; doubles with each try
+    max_delay_ms: float = 30_000.0
     jitter: float = 0.25  # part of the pause, added at random: callers do not come back in step
     budget: float = 0.5  # tries again, all calls together, for each first try so far
 
@@ -35,26 +35,28 @@
 class RetryScheduler:
     """Counts first tries and tries again; `again` answers for one refused call."""
 
-    def __init__(self, policy: RetryPolicy, model: RetryModel, random_: random.Random) -> None:
-        self.policy, self.model, self.random = policy, model, random_
-        self.first = self.granted = self.denied = 0
+    def __init__(self, policy: RetryPolicy, model: RetryModel, rng: random.Random) -> None:
+        self.policy, self.model, self.rng = policy, model, rng
+        self.first_tries = self.granted = self.denied = 0
 
-    def offered(self) -> None:
+    def count_first_try(self) -> None:
         """A first try has gone out."""
-        self.first += 1
+        self.first_tries += 1
 
-    def leaves_out(self, tries_again: bool) -> bool:
+    def skips(self, is_retry: bool) -> bool:
         """Whether a recorded call is not offered, being a try again."""
-        return tries_again and self.policy is not RetryPolicy.RECORDED
+        return is_retry and self.policy is not RetryPolicy.RECORDED
 
-    def again(self, status: int, tries: int, told_ms: float) -> float | None:
+    def retry_delay_ms(self, status: int, try_number: int, retry_after_ms: float) -> float | None:
         """The pause before the next try; None where there is none. `tries` made so far count the first."""
         if self.policy is not RetryPolicy.MODEL or status not in RETRYABLE:
             return None
-        if tries > self.model.most or self.granted + 1 > self.model.budget * self.first:
+        if try_number > self.model.max_retries or self.granted + 1 > self.model.budget * self.first_tries:
             self.denied += 1
             return None
         self.granted += 1
-        pause: float = told_ms if told_ms > 0 else self.model.pause_ms * 2.0 ** (tries - 1)
-        pause = min(max(pause, self.model.least_ms), self.model.longest_ms)
-        return float(pause * (1 + self.model.jitter * self.random.random()))
+        delay_ms: float = (
+            retry_after_ms if retry_after_ms > 0 else self.model.initial_delay_ms * 2.0 ** (try_number - 1)
+        )
+        delay_ms = min(max(delay_ms, self.model.min_delay_ms), self.model.max_delay_ms)
+        return float(delay_ms * (1 + self.model.jitter * self.rng.random()))
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -176,7 +176,7 @@
     from landingdeal.capture.replay import Replay
     from landingdeal.capture.results import rows, summary
 
-    reading, left = Reading(), SkippedCalls({})
+    reading, skipped = Reading(), SkippedCalls({})
     options = ReplayOptions(
         given["speed"],
         given["scale"],
@@ -185,17 +185,17 @@
         transport=(transport or "").upper(),
     )
     found = chosen(files, reading, given["where"], given["from_s"], given["until_s"])
-    made = plan(found, options, left)
+    made = plan(found, options, skipped)
     if not made:
-        raise click.ClickException(f"nothing to offer in {', '.join(files)}: {left.reasons or 'no calls'}")
-    limits = ReplayLimits(outstanding=given["outstanding"], per_s=given["per_s"])
+        raise click.ClickException(f"nothing to offer in {', '.join(files)}: {skipped.reasons or 'no calls'}")
+    limits = ReplayLimits(max_pending=given["outstanding"], max_per_s=given["per_s"])
     engine = Replay(
         made, address(to, "--to"), options, limits, state_file=given["state"], t1_ms=given["t1_ms"]
     )
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, lambda *_: engine.stop())
     report = engine.run()
-    told = {"planned": len(made), "left_out": left.reasons, **summary(report)}
+    told = {"planned": len(made), "left_out": skipped.reasons, **summary(report)}
     if given["as_json"]:
         if given["each"]:
             told["each"] = list(rows(report))
--- a/landingdeal/lab/demo.py
+++ b/landingdeal/lab/demo.py
@@ -144,7 +144,7 @@
 
     @property
     def unanswered(self) -> list[ReplayResult]:
-        return [result for result in last_tries(self.report) if result.finals != 1]
+        return [result for result in last_tries(self.report) if result.final_answers != 1]
 
 
 def demonstrate(calls: int = 40, per_s: float = 20.0, seed: int = 1) -> Shown:
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -110,7 +110,7 @@
     for hub in hubs:
         hub.end()
     results = last_tries(report)
-    assert [r.finals for r in results] == [1] * 30 and {r.status for r in results} == {200}
+    assert [r.final_answers for r in results] == [1] * 30 and {r.status for r in results} == {200}
     reading, calls = Reading(), Calls()
     found = [call for seen in read([str(ours)], reading) for call in calls.feed(seen)] + list(calls.end())
     callers = [call for call in found if call.target[1] == port]
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -108,7 +108,7 @@
     for one in made:
         call = next(call for call in calls if call.number == one.number)
         recorded = (call.invite_ns - first) / 1e6 / 2
-        assert one.at_ms == pytest.approx(recorded) if not one.copy else one.at_ms >= recorded
+        assert one.at_ms == pytest.approx(recorded) if not one.copy_number else one.at_ms >= recorded
     assert len({identity(one, 1, 1) for one in made}) == 75
     assert plan(calls, ReplayOptions(speed=2.0, scale=3), left) == made, "the same seed, another plan"
     assert fingerprint(made) != fingerprint(plan(calls, ReplayOptions(speed=2.0, scale=3, seed=2), left))
@@ -127,19 +127,19 @@
 
 @given(st.lists(st.tuples(st.floats(0, 50), st.booleans()), max_size=300))
 def test_admission_never_passes_its_bounds(steps: list[tuple[float, bool]]) -> None:
-    limits = ReplayLimits(outstanding=5, standing=3, per_s=100.0, burst=4.0)
+    limits = ReplayLimits(max_pending=5, max_established=3, max_per_s=100.0, burst=4.0)
     admission, now, sent, open_ = AdmissionControl(limits), 0.0, list[float](), 0
     for later, answers in steps:
         now += later
         if answers and open_:
             open_ -= 1
-            admission.answered(stands := admission.standing < 3)
-            if not stands and admission.standing:
-                admission.ended()
-        elif not admission.objection(now):
+            admission.answered(stands := admission.established < 3)
+            if not stands and admission.established:
+                admission.call_ended()
+        elif not admission.shed_reason(now):
             sent.append(now)
             open_ += 1
-        assert admission.waiting == open_ <= 5 and admission.standing <= 3
+        assert admission.pending == open_ <= 5 and admission.established <= 3
     for n, at in enumerate(sent):
         within = [other for other in sent[n:] if other - at <= 100.0]
         assert len(within) <= 4 + 10 + 1
@@ -147,33 +147,33 @@
 
 @given(st.integers(0, 500), st.floats(0, 2), st.integers(1, 5), st.integers(0, 1000))
 def test_retries_stay_within_their_budget(first: int, budget: float, most: int, seed: int) -> None:
-    model = RetryModel(most=most, budget=budget)
+    model = RetryModel(max_retries=most, budget=budget)
     retries = RetryScheduler(RetryPolicy.MODEL, model, random.Random(seed))
     for _ in range(first):
-        retries.offered()
+        retries.count_first_try()
     granted = 0
     for call in range(first):
         tries = 1
-        while (pause := retries.again(503, tries, 0.0 if call % 2 else 100.0)) is not None:
+        while (pause := retries.retry_delay_ms(503, tries, 0.0 if call % 2 else 100.0)) is not None:
             granted, tries = granted + 1, tries + 1
-            assert model.least_ms <= pause <= model.longest_ms * (1 + model.jitter)
+            assert model.min_delay_ms <= pause <= model.max_delay_ms * (1 + model.jitter)
         assert tries <= most + 1
     assert granted == retries.granted <= budget * first
-    assert retries.again(403, 1, 0.0) is None
+    assert retries.retry_delay_ms(403, 1, 0.0) is None
     for policy in (RetryPolicy.NONE, RetryPolicy.RECORDED):
-        assert RetryScheduler(policy, model, random.Random(1)).again(503, 1, 0.0) is None
+        assert RetryScheduler(policy, model, random.Random(1)).retry_delay_ms(503, 1, 0.0) is None
 
 
 def test_an_address_that_can_not_be_reached_is_left_alone_ever_longer() -> None:
     backoff, now, pauses = ConnectBackoff(ReplayLimits()), 0.0, []
     for _ in range(10):
         backoff.failed(now)
-        pauses.append(backoff.until_ms - now)
-        assert backoff.shut(now) and not backoff.shut(backoff.until_ms)
-        now = backoff.until_ms
+        pauses.append(backoff.blocked_until_ms - now)
+        assert backoff.blocked(now) and not backoff.blocked(backoff.blocked_until_ms)
+        now = backoff.blocked_until_ms
     assert pauses[:3] == [100.0, 200.0, 400.0] and pauses[-1] == 5000.0
-    backoff.reached()
-    assert not backoff.shut(now)
+    backoff.connected()
+    assert not backoff.blocked(now)
 
 
 # --- against a stand-in ---
@@ -209,7 +209,7 @@
     engine = offer(plan(calls, ReplayOptions(linger_ms=5000.0), SkippedCalls({})), answerer.port)
     answerer.end()
     results = last_tries(engine.report)
-    assert [r.outcome for r in results] == [r.offered.recorded_outcome for r in results]
+    assert [r.outcome for r in results] == [r.planned.recorded_outcome for r in results]
     stood = [r for r in results if r.outcome is Outcome.STOOD]
     assert stood and {r.ended_by for r in stood} == {"them"} and not answerer.seen.byes
     assert len(answerer.seen.cancels) == len(results) - len(stood) > 0
@@ -218,7 +218,7 @@
 def test_refused_calls_are_tried_again_within_the_budget(calls: list[CallRecord]) -> None:
     answerer = Answerer(Behaviour(refuse=lambda user: 486))
     options = ReplayOptions(retries=RetryPolicy.MODEL)
-    model = RetryModel(most=2, pause_ms=50.0, least_ms=20.0, budget=0.4)
+    model = RetryModel(max_retries=2, initial_delay_ms=50.0, min_delay_ms=20.0, budget=0.4)
     engine = offer(plan(calls, options, SkippedCalls({})), answerer.port, options, model=model)
     answerer.end()
     told = summary(engine.report)
@@ -229,7 +229,7 @@
 def test_what_passes_the_limits_is_shed_and_reported(calls: list[CallRecord]) -> None:
     answerer = Answerer(Behaviour(answer_ms=400.0))
     made = [replace(one, at_ms=one.at_ms / 20) for one in plan(calls, ReplayOptions(), SkippedCalls({}))]
-    engine = offer(made, answerer.port, limits=ReplayLimits(outstanding=10))
+    engine = offer(made, answerer.port, limits=ReplayLimits(max_pending=10))
     answerer.end()
     told = summary(engine.report)
     assert told["shed"] == {"too many calls without an answer": 15} and told["calls"] == 25
