--- a/landingdeal/capture/compare.py
+++ b/landingdeal/capture/compare.py
@@ -19,52 +19,56 @@
     @property
     def differing(self) -> list[tuple[CallRecord, CallRecord]]:
         """Pairs with another outcome, final answer or side that ended them."""
-        return [(a, b) for a, b in self.pairs if _end(a) != _end(b)]
+        return [(a, b) for a, b in self.pairs if _final_state(a) != _final_state(b)]
 
     @property
     def equal(self) -> bool:
         return not (self.only_a or self.only_b or self.differing)
 
 
-def _end(call: CallRecord) -> tuple[Any, ...]:
+def _final_state(call: CallRecord) -> tuple[Any, ...]:
     return call.outcome, call.status, call.bye_by
 
 
 def compare(a: Iterable[CallRecord], b: Iterable[CallRecord]) -> Comparison:
     """Pairs by Call-ID; what is left (a replay has new ones) by caller and number, in order of time."""
-    made = Comparison()
-    rest_b = {call.call_id: call for call in b}
-    rest_a = []
+    comparison = Comparison()
+    unmatched_b = {call.call_id: call for call in b}
+    unmatched_a = []
     for call in a:
-        other = rest_b.pop(call.call_id, None)
-        if other is None:
-            rest_a.append(call)
+        match = unmatched_b.pop(call.call_id, None)
+        if match is None:
+            unmatched_a.append(call)
         else:
-            made.pairs.append((call, other))
-    waiting: dict[tuple[str, str], list[CallRecord]] = defaultdict(list)
-    for call in sorted(rest_b.values(), key=lambda one: one.start_ns):
-        waiting[_who(call)].append(call)
-    for call in sorted(rest_a, key=lambda one: one.start_ns):
-        same = waiting[_who(call)]
-        if same:
-            made.pairs.append((call, same.pop(0)))
+            comparison.pairs.append((call, match))
+    by_parties: dict[tuple[str, str], list[CallRecord]] = defaultdict(list)
+    for call in sorted(unmatched_b.values(), key=lambda call: call.start_ns):
+        by_parties[_parties(call)].append(call)
+    for call in sorted(unmatched_a, key=lambda call: call.start_ns):
+        candidates = by_parties[_parties(call)]
+        if candidates:
+            comparison.pairs.append((call, candidates.pop(0)))
         else:
-            made.only_a.append(call)
-    made.only_b = sorted((c for left in waiting.values() for c in left), key=lambda one: one.start_ns)
-    return made
+            comparison.only_a.append(call)
+    comparison.only_b = sorted(
+        (c for remaining in by_parties.values() for c in remaining), key=lambda call: call.start_ns
+    )
+    return comparison
 
 
-def _who(call: CallRecord) -> tuple[str, str]:
+def _parties(call: CallRecord) -> tuple[str, str]:
     return call.caller.partition("@")[0], call.called
 
 
-def shifts(made: Comparison) -> dict[str, list[float]]:
+def time_shifts_ms(comparison: Comparison) -> dict[str, list[float]]:
     """Milliseconds that B is later than A: starts (from each one's first), answers, holding times."""
-    if not made.pairs:
+    if not comparison.pairs:
         return {}
-    first_a, first_b = (min(pair[n].start_ns for pair in made.pairs) for n in (0, 1))
+    first_a, first_b = (min(pair[n].start_ns for pair in comparison.pairs) for n in (0, 1))
     return {
-        "start_ms": [((b.start_ns - first_b) - (a.start_ns - first_a)) / 1e6 for a, b in made.pairs],
-        "answer_ms": [b.answer_ms - a.answer_ms for a, b in made.pairs if min(a.answer_ms, b.answer_ms) >= 0],
-        "hold_ms": [b.hold_ms - a.hold_ms for a, b in made.pairs if min(a.hold_ms, b.hold_ms) >= 0],
+        "start_ms": [((b.start_ns - first_b) - (a.start_ns - first_a)) / 1e6 for a, b in comparison.pairs],
+        "answer_ms": [
+            b.answer_ms - a.answer_ms for a, b in comparison.pairs if min(a.answer_ms, b.answer_ms) >= 0
+        ],
+        "hold_ms": [b.hold_ms - a.hold_ms for a, b in comparison.pairs if min(a.hold_ms, b.hold_ms) >= 0],
     }
--- a/landingdeal/capture/language.py
+++ b/landingdeal/capture/language.py
@@ -18,12 +18,12 @@
 from landingdeal.errors import ConfigError
 
 GRAMMAR = r"""
-    ?start: either
-    ?either: both ("or" both)*      -> either
-    ?both: one ("and" one)*         -> both
-    ?one: "not" one                 -> negated
-        | "(" either ")"
-        | NAME OP value             -> compared
+    ?start: or_expression
+    ?or_expression: and_expression ("or" and_expression)*   -> or_expression
+    ?and_expression: term ("and" term)*                     -> and_expression
+    ?term: "not" term               -> not_expression
+        | "(" or_expression ")"
+        | NAME OP value             -> comparison
         | NAME                      -> flag
     ?value: STRING | NUMBER | WORD
     OP: "==" | "!=" | "<=" | ">=" | "<" | ">" | "~" | "!~"
@@ -35,10 +35,10 @@
     %ignore WS
 """
 
-Test = Callable[[CallRecord], bool]
-Field = Callable[[CallRecord], Any]
+CallPredicate = Callable[[CallRecord], bool]
+FieldGetter = Callable[[CallRecord], Any]
 
-TEXTS: dict[str, Field] = {
+TEXT_FIELDS: dict[str, FieldGetter] = {
     "method": lambda call: "INVITE",
     "class": lambda call: call.class_name,
     "call_id": lambda call: call.call_id,
@@ -51,7 +51,7 @@
     "outcome": lambda call: call.outcome.value,
     "ended_by": lambda call: call.bye_by.value if call.bye_by else "",
 }
-NUMBERS: dict[str, Field] = {
+NUMBER_FIELDS: dict[str, FieldGetter] = {
     "number": lambda call: call.number,
     "status": lambda call: call.status,
     "answer_ms": lambda call: call.answer_ms,
@@ -65,111 +65,113 @@
     "target_port": lambda call: call.target[1],
     "at": lambda call: call.start_ns / 1e9,
 }
-FLAGS: dict[str, Field] = {
+FLAG_FIELDS: dict[str, FieldGetter] = {
     "again": lambda call: call.first_try > 0,
     "begun_before": lambda call: call.begun_before,
     "cut_off": lambda call: call.cut_off,
     "answered": lambda call: call.answer_ns >= 0,
 }
-ORDERED: dict[str, Callable[[Any, Any], bool]] = {
+OPERATORS: dict[str, Callable[[Any, Any], bool]] = {
     "==": operator.eq, "!=": operator.ne, "<": operator.lt, "<=": operator.le, ">": operator.gt,
     ">=": operator.ge,
 }  # fmt: skip
 
 
-class BadFilter(ConfigError):
+class FilterError(ConfigError):
     """The text says what is wrong, and at which column."""
 
 
-def _wrong(token: Token, why: str) -> BadFilter:
-    return BadFilter(f"filter, column {token.column}: {why}")
+def _error_at(token: Token, reason: str) -> FilterError:
+    return FilterError(f"filter, column {token.column}: {reason}")
 
 
-class _Make(Transformer[Token, Test]):
+class _FilterBuilder(Transformer[Token, CallPredicate]):
     """From the parsed tree to one function."""
 
-    def either(self, tests: list[Test]) -> Test:
-        return lambda call: any(test(call) for test in tests)
+    def or_expression(self, predicates: list[CallPredicate]) -> CallPredicate:
+        return lambda call: any(predicate(call) for predicate in predicates)
 
-    def both(self, tests: list[Test]) -> Test:
-        return lambda call: all(test(call) for test in tests)
+    def and_expression(self, predicates: list[CallPredicate]) -> CallPredicate:
+        return lambda call: all(predicate(call) for predicate in predicates)
 
-    def negated(self, tests: list[Test]) -> Test:
-        (test,) = tests
-        return lambda call: not test(call)
+    def not_expression(self, predicates: list[CallPredicate]) -> CallPredicate:
+        (predicate,) = predicates
+        return lambda call: not predicate(call)
 
-    def flag(self, parts: list[Token]) -> Test:
+    def flag(self, parts: list[Token]) -> CallPredicate:
         (name,) = parts
-        field = FLAGS.get(name)
+        field = FLAG_FIELDS.get(name)
         if field is None:
-            known = name in TEXTS or name in NUMBERS
-            why = f"{name} wants a comparison" if known else _unknown(name)
-            raise _wrong(name, why)
+            known = name in TEXT_FIELDS or name in NUMBER_FIELDS
+            reason = f"{name} wants a comparison" if known else _unknown_field(name)
+            raise _error_at(name, reason)
         return lambda call: bool(field(call))
 
-    def compared(self, parts: list[Token]) -> Test:
-        name, sign, value = parts
-        if name in TEXTS:
-            return self._text(name, sign, value)
-        if name in NUMBERS:
-            return self._number(name, sign, value)
-        if name in FLAGS:
-            if sign not in ("==", "!=") or value not in ("true", "false"):
-                raise _wrong(value, f"{name} is true or false")
-            wanted = (value == "true") is (sign == "==")
-            flag = FLAGS[name]
-            return lambda call: bool(flag(call)) is wanted
-        raise _wrong(name, _unknown(name))
+    def comparison(self, parts: list[Token]) -> CallPredicate:
+        name, symbol, value = parts
+        if name in TEXT_FIELDS:
+            return self._text_comparison(name, symbol, value)
+        if name in NUMBER_FIELDS:
+            return self._number_comparison(name, symbol, value)
+        if name in FLAG_FIELDS:
+            if symbol not in ("==", "!=") or value not in ("true", "false"):
+                raise _error_at(value, f"{name} is true or false")
+            expected = (value == "true") is (symbol == "==")
+            flag = FLAG_FIELDS[name]
+            return lambda call: bool(flag(call)) is expected
+        raise _error_at(name, _unknown_field(name))
 
     @staticmethod
-    def _text(name: Token, sign: Token, value: Token) -> Test:
-        field = TEXTS[name]
+    def _text_comparison(name: Token, symbol: Token, value: Token) -> CallPredicate:
+        field = TEXT_FIELDS[name]
         if value.type == "NUMBER" and name != "called":
-            raise _wrong(value, f"{name} is a text")
+            raise _error_at(value, f"{name} is a text")
         text = re.sub(r"\\(.)", r"\1", value[1:-1]) if value.type == "STRING" else str(value)
-        if sign in ("~", "!~"):
+        if symbol in ("~", "!~"):
             try:
                 pattern = re.compile(value[1:-1] if value.type == "STRING" else re.escape(value))
             except re.error as error:
-                raise _wrong(value, f"no regular expression: {error}") from None
-            found = sign == "~"
-            return lambda call: (pattern.search(field(call)) is not None) is found
-        compare = ORDERED[sign]
+                raise _error_at(value, f"no regular expression: {error}") from None
+            should_match = symbol == "~"
+            return lambda call: (pattern.search(field(call)) is not None) is should_match
+        compare = OPERATORS[symbol]
         return lambda call: compare(field(call), text)
 
     @staticmethod
-    def _number(name: Token, sign: Token, value: Token) -> Test:
-        if sign not in ORDERED:
-            raise _wrong(sign, f"{name} is a number, which {sign} does not search")
+    def _number_comparison(name: Token, symbol: Token, value: Token) -> CallPredicate:
+        if symbol not in OPERATORS:
+            raise _error_at(symbol, f"{name} is a number, which {symbol} does not search")
         if value.type != "NUMBER":
-            raise _wrong(value, f"{name} is a number")
-        field, compare, number = NUMBERS[name], ORDERED[sign], float(value)
+            raise _error_at(value, f"{name} is a number")
+        field, compare, number = NUMBER_FIELDS[name], OPERATORS[symbol], float(value)
         return lambda call: compare(field(call), number)
 
 
-def _unknown(name: str) -> str:
-    return f"no field {name}; known are {', '.join(sorted([*TEXTS, *NUMBERS, *FLAGS]))}"
+def _unknown_field(name: str) -> str:
+    return f"no field {name}; known are {', '.join(sorted([*TEXT_FIELDS, *NUMBER_FIELDS, *FLAG_FIELDS]))}"
 
 
 _parser = Lark(GRAMMAR, parser="lalr", lexer="contextual", maybe_placeholders=False)
 
 
-def parse(text: str) -> Test:
+def parse_filter(text: str) -> CallPredicate:
     """Raises BadFilter. An empty filter lets every call through."""
     if not text.strip():
         return lambda call: True
     try:
-        return _Make().transform(_parser.parse(text))
+        return _FilterBuilder().transform(_parser.parse(text))
     except VisitError as error:
-        if isinstance(error.orig_exc, BadFilter):
+        if isinstance(error.orig_exc, FilterError):
             raise error.orig_exc from None
         raise
     except UnexpectedEOF:
-        raise BadFilter(f"filter, column {len(text) + 1}: it ends too early") from None
+        raise FilterError(f"filter, column {len(text) + 1}: it ends too early") from None
     except UnexpectedCharacters as error:
-        raise BadFilter(f"filter, column {error.column}: {text[error.pos_in_stream or 0 :][:12]!r}") from None
+        raise FilterError(
+            f"filter, column {error.column}: {text[error.pos_in_stream or 0 :][:12]!r}"
+        ) from None
     except UnexpectedInput as error:
         token = getattr(error, "token", None)
         if token is None or token.type == "$END":
-            raise BadFilter(f"filter, column {len(text) + 1}: it ends too early") from None
-        raise BadFilter(f"filter, column {token.column}: {str(token)!r} was not expected") from None
+            raise FilterError(f"filter, column {len(text) + 1}: it ends too early") from None
+        raise FilterError(f"filter, column {token.column}: {str(token)!r} was not expected") from None
--- a/landingdeal/capture/player.py
+++ b/landingdeal/capture/player.py
@@ -66,29 +66,29 @@
         self.call_id, self.tag = identity(planned, try_number, seed)
         self.on_finished, self.on_answered = on_finished, on_answered
         self.result = ReplayResult(planned, try_number, 0.0)
-        self.transaction: ClientTransaction | None = None  # of the INVITE
+        self.invite_transaction: ClientTransaction | None = None  # of the INVITE
         self.cancel_transaction: ClientTransaction | None = None
         self.bye_transaction: ClientTransaction | None = None
         self.dialog: Dialog | None = None
-        self.provisional_received = self.cancelled = self.ended = False
-        self.requests: dict[tuple[int, str], ServerTransaction] = {}
+        self.provisional_received = self.cancel_requested = self.finished = False
+        self.server_transactions: dict[tuple[int, str], ServerTransaction] = {}
         self.start_ms = 0.0
         self.branch_count = 0
 
     # --- out ---
 
-    def start(self, planned_ms: float) -> None:
-        self.start_ms = planned_ms
-        self.result.late_ms = self.layer.now() - planned_ms
-        self.transaction = self._start_client(self._invite(), self._on_invite_response)
-        if self.ended:
+    def start(self, due_ms: float) -> None:
+        self.start_ms = due_ms
+        self.result.late_ms = self.layer.now() - due_ms
+        self.invite_transaction = self._start_client(self._invite(), self._on_invite_response)
+        if self.finished:
             return
         if self.planned.cancel_after_ms >= 0:
-            self.layer.at(planned_ms + self.planned.cancel_after_ms, self.cancel)
+            self.layer.at(due_ms + self.planned.cancel_after_ms, self.cancel)
         patience = self.planned.patience_ms or DEFAULT_PATIENCE_MS
-        self.layer.at(planned_ms + patience, self.cancel)
+        self.layer.at(due_ms + patience, self.cancel)
         # after that nothing is awaited for longer than a transaction lasts
-        self.layer.at(planned_ms + patience + self.layer.timing.b, self._expire)
+        self.layer.at(due_ms + patience + self.layer.timing.b, self._expire)
 
     def _via(self) -> str:
         self.branch_count += 1
@@ -116,34 +116,36 @@
             *copied_headers, body=recorded.body,
         )  # fmt: skip
 
-    def _start_client(self, made: Message, on_response: Callable[[Message], None]) -> ClientTransaction:
-        branch = made.get("via").partition("branch=")[2].partition(";")[0]
-        transaction = ClientTransaction(self.layer, self.flow, made, f"{branch}|{made.method}", on_response)
+    def _start_client(self, outgoing: Message, on_response: Callable[[Message], None]) -> ClientTransaction:
+        branch = outgoing.get("via").partition("branch=")[2].partition(";")[0]
+        transaction = ClientTransaction(
+            self.layer, self.flow, outgoing, f"{branch}|{outgoing.method}", on_response
+        )
         transaction.start()
         return transaction
 
     def cancel(self) -> None:
         """The caller has no more patience, or gave up at this point in the capture."""
-        transaction = self.transaction
-        if self.cancelled or self.ended or transaction is None or self.result.final_answers:
+        transaction = self.invite_transaction
+        if self.cancel_requested or self.finished or transaction is None or self.result.final_answers:
             return
-        self.cancelled = True
+        self.cancel_requested = True
         if self.provisional_received:  # else it has to wait for a provisional response (9.1)
             self._send_cancel()
 
     def _send_cancel(self) -> None:
-        assert self.transaction is not None
+        assert self.invite_transaction is not None
         self.cancel_transaction = self._start_client(
-            within(self.transaction.request, "CANCEL"), lambda message: None
+            within(self.invite_transaction.request, "CANCEL"), lambda message: None
         )
 
-    def bye(self) -> None:
-        if self.dialog is None or self.dialog.over or self.ended:
+    def send_bye(self) -> None:
+        if self.dialog is None or self.dialog.over or self.finished:
             return
         self.dialog.over = True
         self.result.ended_by = "us"
-        made = self.dialog.make("BYE", self._via(), ("reason", "Q.850;cause=16"))
-        self.bye_transaction = self._start_client(made, self._on_bye_response)
+        outgoing = self.dialog.make("BYE", self._via(), ("reason", "Q.850;cause=16"))
+        self.bye_transaction = self._start_client(outgoing, self._on_bye_response)
 
     def _on_bye_response(self, message: Message) -> None:
         if message.status >= 200:
@@ -155,7 +157,7 @@
         status = message.status
         if status < 200:
             self.provisional_received = True
-            if self.cancelled and self.cancel_transaction is None:
+            if self.cancel_requested and self.cancel_transaction is None:
                 self._send_cancel()
             return
         repeated = self.dialog is not None and 200 <= status < 300
@@ -169,9 +171,9 @@
         if 200 <= status < 300:
             self._establish(message)
         else:
-            withdrawn = self.cancelled and status == 487
+            abandoned = self.cancel_requested and status == 487
             timed_out = not message.get("via")  # made by our own timers
-            self.result.outcome = Outcome.WITHDRAWN if withdrawn else Outcome.REFUSED
+            self.result.outcome = Outcome.WITHDRAWN if abandoned else Outcome.REFUSED
             if timed_out:
                 self.result.outcome, self.result.status = Outcome.UNANSWERED, 0
                 self.result.error = "no answer" if status == 408 else "the connection failed"
@@ -180,20 +182,20 @@
             self._finish()
 
     def _establish(self, message: Message) -> None:
-        assert self.transaction is not None
+        assert self.invite_transaction is not None
         self.result.outcome = Outcome.STOOD
-        self.dialog = Dialog(self.transaction.request, message, self.flow, True)
+        self.dialog = Dialog(self.invite_transaction.request, message, self.flow, True)
         self._send_ack()
         self.on_answered(self)
-        if self.cancelled:  # it crossed our CANCEL: what stands for nobody is ended
-            self.bye()
+        if self.cancel_requested:  # it crossed our CANCEL: what stands for nobody is ended
+            self.send_bye()
         else:
-            self.layer.at(self.layer.now() + max(self.planned.hold_ms, 0.0), self.bye)
+            self.layer.at(self.layer.now() + max(self.planned.hold_ms, 0.0), self.send_bye)
 
     def _on_repeated_2xx(self, message: Message) -> None:
         """A 2xx once more: its ACK got lost; or that of another fork, which is ended (13.2.2.4)."""
-        assert self.dialog is not None and self.transaction is not None
-        repeated_dialog = Dialog(self.transaction.request, message, self.flow, True)
+        assert self.dialog is not None and self.invite_transaction is not None
+        repeated_dialog = Dialog(self.invite_transaction.request, message, self.flow, True)
         if repeated_dialog.key == self.dialog.key:
             self._send_ack()
             return
@@ -204,26 +206,28 @@
         assert self.dialog is not None
         self.flow.send(self.dialog.make("ACK", self._via(), seq=self.dialog.invite_seq))
 
-    def response(self, message: Message) -> None:
+    def handle_response(self, message: Message) -> None:
         """Any response of this call: found by branch and method (17.1.3)."""
         branch = message.get("via").partition("branch=")[2].partition(";")[0]
         key = f"{branch}|{message.cseq[1]}"
-        for transaction in (self.transaction, self.cancel_transaction, self.bye_transaction):
+        for transaction in (self.invite_transaction, self.cancel_transaction, self.bye_transaction):
             if transaction is not None and transaction.key == key:
                 transaction.received(message)
 
-    def request(self, message: Message) -> None:
+    def handle_request(self, message: Message) -> None:
         """A request of the other side within this call."""
         key = message.cseq
-        known_transaction = self.requests.get(key)
+        known_transaction = self.server_transactions.get(key)
         if known_transaction is not None:
             known_transaction.retransmitted()
             return
         if message.method == "ACK":
             return
-        transaction = self.requests[key] = ServerTransaction(self.layer, self.flow, message, f"{key}")
-        if len(self.requests) > 32:
-            del self.requests[next(iter(self.requests))]
+        transaction = self.server_transactions[key] = ServerTransaction(
+            self.layer, self.flow, message, f"{key}"
+        )
+        if len(self.server_transactions) > 32:
+            del self.server_transactions[next(iter(self.server_transactions))]
         match message.method:
             case "BYE" if self.dialog is not None:
                 transaction.respond(response(message, 200))
@@ -238,33 +242,33 @@
             case _:
                 transaction.respond(response(message, 481))
 
-    def failed(self) -> None:
+    def connection_failed(self) -> None:
         """The connection is gone."""
-        transaction = self.transaction
+        transaction = self.invite_transaction
         if transaction is not None and transaction.state in (State.CALLING, State.PROCEEDING):
             transaction.failed()
-        elif not self.ended and self.dialog is not None:
+        elif not self.finished and self.dialog is not None:
             self.result.error = self.result.error or "the connection ended while the call stood"
             self._finish()
 
     def _expire(self) -> None:
-        if not self.ended and not self.result.final_answers:
-            assert self.transaction is not None
-            self.transaction.terminate()
+        if not self.finished and not self.result.final_answers:
+            assert self.invite_transaction is not None
+            self.invite_transaction.terminate()
             self.result.error = "no final answer"
             self.on_answered(self)
             self._finish()
 
     def _finish(self) -> None:
-        if not self.ended:
-            self.ended = True
+        if not self.finished:
+            self.finished = True
             self.on_finished(self)
 
 
 def retry_after_of(message: Message) -> float:
     """The time to stay away that a refusal tells, in milliseconds; 0 where it tells none."""
-    told = message.get("x-later-ms").strip()
-    if told.isascii() and told.isdecimal() and len(told) <= 9:
-        return float(told)
-    after = message.get("retry-after").partition(";")[0].partition("(")[0].strip()
-    return 1000.0 * int(after) if after.isascii() and after.isdecimal() and len(after) <= 6 else 0.0
+    text = message.get("x-later-ms").strip()
+    if text.isascii() and text.isdecimal() and len(text) <= 9:
+        return float(text)
+    seconds = message.get("retry-after").partition(";")[0].partition("(")[0].strip()
+    return 1000.0 * int(seconds) if seconds.isascii() and seconds.isdecimal() and len(seconds) <= 6 else 0.0
--- a/landingdeal/capture/progress.py
+++ b/landingdeal/capture/progress.py
@@ -46,16 +46,16 @@
 
 def save(path: Path, state: ReplayState) -> None:
     """Raises OSError; the old state is then untouched."""
-    made = path.with_name(path.name + ".new")
+    new_path = path.with_name(path.name + ".new")
     try:
-        with made.open("wb") as file:
+        with new_path.open("wb") as file:
             file.write(msgspec.json.encode(state))
             file.flush()
             os.fsync(file.fileno())
-        os.replace(made, path)
+        os.replace(new_path, path)
     except OSError:
         with contextlib.suppress(OSError):
-            made.unlink()
+            new_path.unlink()
         raise
 
 
--- a/landingdeal/capture/replay.py
+++ b/landingdeal/capture/replay.py
@@ -282,9 +282,9 @@
         if player is None:
             self.report.unmatched_messages += 1
         elif message.status:
-            player.response(message)
+            player.handle_response(message)
         else:
-            player.request(message)
+            player.handle_request(message)
 
     def connected(self) -> None:
         self.backoff.connected()
@@ -297,7 +297,7 @@
         flow.alive = False
         flow.queued.clear()
         for player in list(flow.players.values()):
-            player.failed()
+            player.connection_failed()
 
     def _on_answered(self, player: CallPlayer) -> None:
         self.admission.answered(player.result.outcome is Outcome.STOOD)
--- a/landingdeal/capture/settings.py
+++ b/landingdeal/capture/settings.py
@@ -12,7 +12,7 @@
 from landingdeal.errors import ConfigError
 
 
-class _Section(msgspec.Struct, forbid_unknown_fields=True):
+class _CaptureSection(msgspec.Struct, forbid_unknown_fields=True):
     read: str | list[str] = []
     write: str = ""
     file_mb: float = 64.0
@@ -31,18 +31,20 @@
     compress: str = ""
 
 
-def read_capture(raw: dict[str, Any]) -> CaptureSettings:
+def parse_capture_settings(raw: dict[str, Any]) -> CaptureSettings:
     """Raises ConfigError that names section, key and reason."""
     try:
-        told = msgspec.convert(raw, _Section)
+        section = msgspec.convert(raw, _CaptureSection)
     except msgspec.ValidationError as error:
         raise ConfigError(f"sip.capture: {error}") from None
     for key in ("file_mb", "file_minutes", "total_mb"):
-        if not 0 <= getattr(told, key) < 1e9:
+        if not 0 <= getattr(section, key) < 1e9:
             raise ConfigError(f"sip.capture.{key} is from 0 (no bound) to 1e9")
-    if 0 < told.total_mb < told.file_mb or told.file_mb == 0 < told.total_mb:
+    if 0 < section.total_mb < section.file_mb or section.file_mb == 0 < section.total_mb:
         raise ConfigError("sip.capture.total_mb is less than one file may hold")
-    read = (told.read,) if isinstance(told.read, str) else tuple(told.read)
-    bounds = Bounds(round(told.file_mb * 2**20), told.file_minutes * 60_000, round(told.total_mb * 2**20))
-    write = Path(told.write) if told.write else None
-    return CaptureSettings(tuple(filter(None, read)), write, bounds, told.compress)
+    read = (section.read,) if isinstance(section.read, str) else tuple(section.read)
+    bounds = Bounds(
+        round(section.file_mb * 2**20), section.file_minutes * 60_000, round(section.total_mb * 2**20)
+    )
+    write = Path(section.write) if section.write else None
+    return CaptureSettings(tuple(filter(None, read)), write, bounds, section.compress)
--- a/landingdeal/capture/views.py
+++ b/landingdeal/capture/views.py
@@ -9,14 +9,14 @@
 from landingdeal.capture.calls import CallRecord
 from landingdeal.capture.layers import Address
 
-FIELDS = (
+COLUMNS = (
     "number", "call_id", "caller", "called", "class", "transport", "source", "target", "start_s", "outcome",
     "status", "answer_ms", "hold_ms", "ended_by", "cause", "later_ms", "retransmissions", "reinvites",
     "first_try", "begun_before", "cut_off",
 )  # fmt: skip
 
 
-def where(address: Address) -> str:
+def format_address(address: Address) -> str:
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
@@ -25,12 +25,13 @@
     """Times in milliseconds; -1 where nothing of the kind passed."""
     return {
         "number": call.number, "call_id": call.call_id, "caller": call.caller, "called": call.called,
-        "class": call.class_name, "transport": call.transport, "source": where(call.source),
-        "target": where(call.target), "start_s": round(call.start_ns / 1e9, 6), "outcome": call.outcome.value,
-        "status": call.status, "answer_ms": round(call.answer_ms, 3), "hold_ms": round(call.hold_ms, 3),
-        "ended_by": call.bye_by.value if call.bye_by else "", "cause": call.cause, "later_ms": call.later_ms,
-        "retransmissions": call.retransmissions, "reinvites": len(call.reinvites),
-        "first_try": call.first_try, "begun_before": call.begun_before, "cut_off": call.cut_off,
+        "class": call.class_name, "transport": call.transport, "source": format_address(call.source),
+        "target": format_address(call.target), "start_s": round(call.start_ns / 1e9, 6),
+        "outcome": call.outcome.value, "status": call.status, "answer_ms": round(call.answer_ms, 3),
+        "hold_ms": round(call.hold_ms, 3), "ended_by": call.bye_by.value if call.bye_by else "",
+        "cause": call.cause, "later_ms": call.later_ms, "retransmissions": call.retransmissions,
+        "reinvites": len(call.reinvites), "first_try": call.first_try, "begun_before": call.begun_before,
+        "cut_off": call.cut_off,
     }  # fmt: skip
 
 
@@ -49,36 +50,36 @@
             notes.append("cut off")
         answer = f"{call.answer_ms:.1f}" if call.answer_ms >= 0 else "-"
         hold = f"{call.hold_ms:.0f}" if call.hold_ms >= 0 else "-"
-        at = datetime.fromtimestamp(call.start_ns / 1e9, UTC).strftime("%H:%M:%S.%f")[:12]
-        yield (f"{call.number:6} {at}  {call.caller[:24]:24} {call.called[:12]:12} {call.class_name[:14]:14} "
-               f"{call.outcome.value:11} {call.status or '-':>6} {answer:>9} {hold:>9}  "
-               f"{', '.join(notes)}".rstrip())  # fmt: skip
+        start_time = datetime.fromtimestamp(call.start_ns / 1e9, UTC).strftime("%H:%M:%S.%f")[:12]
+        yield (f"{call.number:6} {start_time}  {call.caller[:24]:24} {call.called[:12]:12} "
+               f"{call.class_name[:14]:14} {call.outcome.value:11} {call.status or '-':>6} "
+               f"{answer:>9} {hold:>9}  {', '.join(notes)}".rstrip())  # fmt: skip
 
 
-WIDTH = 34  # between the lines of two parties
+COLUMN_WIDTH = 34  # between the lines of two parties
 
 
-def ladder_of(call: CallRecord) -> Iterator[str]:
+def ladder_lines(call: CallRecord) -> Iterator[str]:
     """The messages of a call between the parties' lines, in order of time, as RFC 3665 draws them."""
     parties: list[Address] = []
     for step in call.steps:
-        for end in (step.source, step.target):
-            if end not in parties:
-                parties.append(end)
+        for endpoint in (step.source, step.target):
+            if endpoint not in parties:
+                parties.append(endpoint)
     yield f"call {call.number}  {call.call_id}  {call.caller} to {call.called}  {call.outcome.value}"
-    yield " " * 11 + "".join(f"{where(end):^{WIDTH}}" for end in parties).rstrip()
-    middle = WIDTH // 2
+    yield " " * 11 + "".join(f"{format_address(endpoint):^{COLUMN_WIDTH}}" for endpoint in parties).rstrip()
+    middle = COLUMN_WIDTH // 2
     for step in call.steps:
-        line = list(" " * (WIDTH * len(parties)))
+        line = list(" " * (COLUMN_WIDTH * len(parties)))
         for n in range(len(parties)):
-            line[n * WIDTH + middle] = "|"
+            line[n * COLUMN_WIDTH + middle] = "|"
         low, high = sorted((parties.index(step.source), parties.index(step.target)))
         if low != high:
-            left, right = low * WIDTH + middle + 1, high * WIDTH + middle
+            left, right = low * COLUMN_WIDTH + middle + 1, high * COLUMN_WIDTH + middle
             to_right = parties.index(step.source) == low
             text = f" {step.what} "[: right - left - 3]
             span = list(text.center(right - left, "-"))
             span[-1 if to_right else 0] = ">" if to_right else "<"
             line[left:right] = span
-        at = (step.time_ns - call.steps[0].time_ns) / 1e6
-        yield f"{at:10.3f} " + "".join(line).rstrip()
+        elapsed_ms = (step.time_ns - call.steps[0].time_ns) / 1e6
+        yield f"{elapsed_ms:10.3f} " + "".join(line).rstrip()
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -18,13 +18,15 @@
 from landingdeal.capture.problems import Kind
 from landingdeal.capture.reader import Reading, read
 from landingdeal.capture.retries import RetryPolicy
-from landingdeal.capture.views import FIELDS, as_row, call_table, ladder_of
-from landingdeal.commands.main import CAN_NOT, FOUND
+from landingdeal.capture.views import COLUMNS, as_row, call_table, ladder_lines
+from landingdeal.commands.main import EXIT_CANNOT_RUN, EXIT_PROBLEMS
 from landingdeal.errors import address
 
-FILES = click.argument("files", nargs=-1, required=True)
-JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
-STRICT = click.option("--strict-checksums", is_flag=True, help="Drop packets whose checksum is wrong.")
+FILES_ARGUMENT = click.argument("files", nargs=-1, required=True)
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
+STRICT_CHECKSUMS_OPTION = click.option(
+    "--strict-checksums", is_flag=True, help="Drop packets whose checksum is wrong."
+)
 
 
 @click.group()
@@ -32,7 +34,7 @@
     """Read, check and look into captures: pcap and pcapng, plain, gzip or zstd; `-` is standard input."""
 
 
-def calls_of(files: tuple[str, ...], reading: Reading, strict: bool) -> Iterator[CallRecord]:
+def read_calls(files: tuple[str, ...], reading: Reading, strict: bool) -> Iterator[CallRecord]:
     calls = Calls()
     for seen in read(files, reading, strict):
         yield from calls.feed(seen)
@@ -53,22 +55,22 @@
     }  # fmt: skip
 
 
-def code_of(reading: Reading) -> int:
+def exit_code(reading: Reading) -> int:
     """2 where nothing could be read since a file is no capture; 1 with other problems."""
     if reading.problems.counts[Kind.NOT_A_CAPTURE] and not reading.counts["packets"]:
-        return CAN_NOT
-    return 0 if reading.complete else FOUND
+        return EXIT_CANNOT_RUN
+    return 0 if reading.complete else EXIT_PROBLEMS
 
 
 @capture.command()
-@FILES
-@STRICT
-@JSON
+@FILES_ARGUMENT
+@STRICT_CHECKSUMS_OPTION
+@JSON_OPTION
 @click.pass_context
 def check(ctx: click.Context, files: tuple[str, ...], strict_checksums: bool, as_json: bool) -> None:
     """Say everything that is wrong with captures. Exit code 1 where anything is."""
     reading = Reading()
-    calls = sum(1 for _ in calls_of(files, reading, strict_checksums))
+    calls = sum(1 for _ in read_calls(files, reading, strict_checksums))
     if as_json:
         click.echo(json.dumps(told(reading, calls)))
     else:
@@ -81,12 +83,12 @@
             f"{reading.counts['packets']} packets, {reading.counts['messages']} messages, {calls} calls, "
             f"{len(reading.problems) or 'no'} problems"
         )
-    ctx.exit(FOUND if not reading.complete else 0)
+    ctx.exit(EXIT_PROBLEMS if not reading.complete else 0)
 
 
 @capture.command()
-@FILES
-@JSON
+@FILES_ARGUMENT
+@JSON_OPTION
 @click.pass_context
 def info(ctx: click.Context, files: tuple[str, ...], as_json: bool) -> None:
     """Say what captures hold: span of time, packets, calls by outcome and class."""
@@ -94,7 +96,7 @@
     outcomes: Counter[str] = Counter()
     classes: Counter[str] = Counter()
     again = marked = 0
-    for call in calls_of(files, reading, False):
+    for call in read_calls(files, reading, False):
         outcomes[call.outcome.value] += 1
         classes[call.class_name or "-"] += 1
         again += bool(call.first_try)
@@ -115,34 +117,34 @@
             if isinstance(value, dict):
                 value = ", ".join(f"{count} {what}" for what, count in value.items())
             click.echo(f"{name:24} {value}")
-    ctx.exit(code_of(reading))
+    ctx.exit(exit_code(reading))
 
 
 @capture.command()
-@FILES
+@FILES_ARGUMENT
 @click.option("--csv", "as_csv", is_flag=True, help="Comma-separated values with a head line.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a line, for machines.")
 @click.pass_context
 def calls(ctx: click.Context, files: tuple[str, ...], as_csv: bool, as_json: bool) -> None:
     """List the calls, one a line."""
     reading = Reading()
-    found = calls_of(files, reading, False)
+    found = read_calls(files, reading, False)
     if as_json:
         for call in found:  # one object a line: memory does not grow with the file
             click.echo(json.dumps(as_row(call)))
     elif as_csv:
-        writer = csv.DictWriter(sys.stdout, FIELDS)
+        writer = csv.DictWriter(sys.stdout, COLUMNS)
         writer.writeheader()
         for call in found:
             writer.writerow(as_row(call))
     else:
         for line in call_table(found):
             click.echo(line)
-    ctx.exit(code_of(reading))
+    ctx.exit(exit_code(reading))
 
 
 @capture.command()
-@FILES
+@FILES_ARGUMENT
 @click.option("--to", required=True, metavar="ADDRESS:PORT", help="Where the calls are offered.")
 @click.option("--transport", type=click.Choice(["udp", "tcp"]), help="Instead of the recorded one.")
 @click.option("--speed", type=click.FloatRange(0.001, 1000), default=1.0, show_default=True)
@@ -165,7 +167,7 @@
     "--state", type=click.Path(dir_okay=False, path_type=Path), help="Progress; goes on from there."
 )
 @click.option("--calls", "each", is_flag=True, help="Also one line a call.")
-@JSON
+@JSON_OPTION
 @click.pass_context
 def replay(
     ctx: click.Context, /, files: tuple[str, ...], to: str, transport: str | None, **given: Any
@@ -205,17 +207,17 @@
             click.echo("  ".join(f"{name}={value}" for name, value in row.items() if value not in ("", -1)))
         for name, value in told.items():
             click.echo(f"{name:16} {value}")
-    ctx.exit(FOUND if told["errors"] or told["twice_answered"] or report.stopped else 0)
+    ctx.exit(EXIT_PROBLEMS if told["errors"] or told["twice_answered"] or report.stopped else 0)
 
 
 def chosen(
     files: tuple[str, ...], reading: Reading, where: str, from_s: float, until_s: float | None
 ) -> Iterator[CallRecord]:
     """The calls of a span of time and of a filter."""
-    from landingdeal.capture.language import parse
+    from landingdeal.capture.language import parse_filter
 
-    test, first = parse(where), -1
-    for call in calls_of(files, reading, False):
+    test, first = parse_filter(where), -1
+    for call in read_calls(files, reading, False):
         first = call.start_ns if first < 0 else min(first, call.start_ns)
         at = (call.start_ns - first) / 1e9
         if at >= from_s and (until_s is None or at < until_s) and test(call):
@@ -224,14 +226,14 @@
 
 @capture.command()
 @click.argument("call")
-@FILES
+@FILES_ARGUMENT
 @click.pass_context
 def ladder(ctx: click.Context, call: str, files: tuple[str, ...]) -> None:
     """Draw the ladder of one CALL, named by its number or its Call-ID."""
     reading = Reading()
-    for found in calls_of(files, reading, False):
+    for found in read_calls(files, reading, False):
         if call in (found.call_id, str(found.number)):
-            for line in ladder_of(found):
+            for line in ladder_lines(found):
                 click.echo(line)
             return
     raise click.ClickException(f"no call {call!r} in {', '.join(files)}")
--- a/landingdeal/commands/capture_files.py
+++ b/landingdeal/commands/capture_files.py
@@ -14,25 +14,25 @@
 from landingdeal.capture.encode import CaptureFile, PcapFile, PcapngFile
 from landingdeal.capture.messages import Seen
 from landingdeal.capture.reader import Reading, read
-from landingdeal.commands.capture import FILES, JSON, calls_of, capture, code_of
-from landingdeal.commands.main import CAN_NOT, FOUND
+from landingdeal.commands.capture import FILES_ARGUMENT, JSON_OPTION, capture, exit_code, read_calls
+from landingdeal.commands.main import EXIT_CANNOT_RUN, EXIT_PROBLEMS
 
-OUT = click.argument("out", type=click.Path(dir_okay=False, path_type=Path))
-IN = click.argument("file", type=click.Path(path_type=Path))
+OUT_ARGUMENT = click.argument("out", type=click.Path(dir_okay=False, path_type=Path))
+FILE_ARGUMENT = click.argument("file", type=click.Path(path_type=Path))
 
 
-def form_of(path: Path) -> CaptureFile:
+def file_format_of(path: Path) -> CaptureFile:
     return PcapngFile() if ".pcapng" in path.name else PcapFile()
 
 
 def write(out: Path, messages: Iterable[Seen]) -> None:
     """Written beside and renamed: a command that is stopped leaves no half of a file."""
-    from landingdeal.capture.rewrite import written
+    from landingdeal.capture.rewrite import encode_capture
 
     part = out.with_name(out.name + ".part")
     try:
         with part.open("wb") as file:
-            for piece in written(messages, form_of(out)):
+            for piece in encode_capture(messages, file_format_of(out)):
                 file.write(piece)
         os.replace(part, out)
     finally:
@@ -41,18 +41,18 @@
 
 
 @capture.command("filter")
-@IN
-@OUT
+@FILE_ARGUMENT
+@OUT_ARGUMENT
 @click.option("--where", required=True, help="As: class == voice and status >= 500")
 @click.pass_context
 def filter_(ctx: click.Context, file: Path, out: Path, where: str) -> None:
     """Write the calls that a filter lets through to another capture."""
-    from landingdeal.capture.language import parse
+    from landingdeal.capture.language import parse_filter
 
-    test, reading = parse(where), Reading()
+    predicate, reading = parse_filter(where), Reading()
     spans: dict[str, list[tuple[int, int]]] = {}
-    for call in calls_of((str(file),), reading, False):
-        if test(call):
+    for call in read_calls((str(file),), reading, False):
+        if predicate(call):
             last = max([call.start_ns, call.over_ns, *(step.time_ns for step in call.steps)])
             spans.setdefault(call.call_id, []).append((call.start_ns, last))
 
@@ -63,24 +63,24 @@
 
     write(out, kept())
     click.echo(f"{sum(map(len, spans.values()))} calls to {out}")
-    ctx.exit(code_of(reading))
+    ctx.exit(exit_code(reading))
 
 
 @capture.command()
-@FILES
-@OUT
+@FILES_ARGUMENT
+@OUT_ARGUMENT
 @click.pass_context
 def merge(ctx: click.Context, files: tuple[str, ...], out: Path) -> None:
     """Write the messages of several captures, in order of time, to one."""
     reading = Reading()
     write(out, read(files, reading))
     click.echo(f"{reading.counts['messages']} messages of {len(files)} captures to {out}")
-    ctx.exit(code_of(reading))
+    ctx.exit(exit_code(reading))
 
 
 @capture.command()
-@IN
-@OUT
+@FILE_ARGUMENT
+@OUT_ARGUMENT
 @click.option("--key", envvar="LANDINGDEAL_SCRUB_KEY", required=True, help="The same key, the same names.")
 @click.pass_context
 def scrub(ctx: click.Context, file: Path, out: Path, key: str) -> None:
@@ -88,14 +88,14 @@
     from landingdeal.capture.rewrite import Scrubber
 
     scrubber, reading = Scrubber(key), Reading()
-    write(out, map(scrubber.seen, read([str(file)], reading)))
+    write(out, map(scrubber.scrub_captured, read([str(file)], reading)))
     click.echo(f"{reading.counts['messages']} messages to {out}")
-    ctx.exit(code_of(reading))
+    ctx.exit(exit_code(reading))
 
 
 @capture.command()
-@IN
-@OUT
+@FILE_ARGUMENT
+@OUT_ARGUMENT
 def repair(file: Path, out: Path) -> None:
     """Cut a damaged tail off: all that is whole is kept."""
     from landingdeal.capture.formats import NotCapture
@@ -112,17 +112,17 @@
 @capture.command()
 @click.argument("a", type=click.Path(path_type=Path))
 @click.argument("b", type=click.Path(path_type=Path))
-@JSON
+@JSON_OPTION
 @click.pass_context
 def compare(ctx: click.Context, a: Path, b: Path, as_json: bool) -> None:
     """Compare two captures call by call. Exit code 1 where calls are missing or ended otherwise."""
     from landingdeal.capture.compare import compare as compared
-    from landingdeal.capture.compare import shifts
+    from landingdeal.capture.compare import time_shifts_ms
     from landingdeal.capture.results import quantile
 
     readings = Reading(), Reading()
-    made = compared(calls_of((str(a),), readings[0], False), calls_of((str(b),), readings[1], False))
-    later: dict[str, list[float]] = {name: values for name, values in shifts(made).items() if values}
+    made = compared(read_calls((str(a),), readings[0], False), read_calls((str(b),), readings[1], False))
+    later: dict[str, list[float]] = {name: values for name, values in time_shifts_ms(made).items() if values}
     told: dict[str, Any] = {
         "both": len(made.pairs), "only_a": len(made.only_a), "only_b": len(made.only_b),
         "differing": [
@@ -150,6 +150,6 @@
                        f"{row['b']} {row['b_outcome']} {row['b_status']}")  # fmt: skip
         for name, values in told["later"].items():
             click.echo(f"{name:10} later by p50 {values['p50']}, p99 {values['p99']}, most {values['most']}")
-    if any(code_of(reading) == CAN_NOT for reading in readings):
-        ctx.exit(CAN_NOT)
-    ctx.exit(0 if made.equal else FOUND)
+    if any(exit_code(reading) == EXIT_CANNOT_RUN for reading in readings):
+        ctx.exit(EXIT_CANNOT_RUN)
+    ctx.exit(0 if made.equal else EXIT_PROBLEMS)
--- a/landingdeal/commands/config.py
+++ b/landingdeal/commands/config.py
@@ -7,11 +7,11 @@
 
 import click
 
-from landingdeal.commands.main import FOUND
+from landingdeal.commands.main import EXIT_PROBLEMS
 from landingdeal.errors import ConfigError
 
 
-def problem_of(path: Path) -> str:
+def file_problem(path: Path) -> str:
     """What is wrong with a file; empty if it can be used. JSON is the platform's, all else the operator's."""
     text = path.read_text(encoding="utf-8")
     try:
@@ -39,10 +39,10 @@
 @click.pass_context
 def check(ctx: click.Context, files: tuple[Path, ...], as_json: bool) -> None:
     """Check operator's files (TOML) and platform configurations (JSON); code 1 where one can't be used."""
-    found = {str(path): problem_of(path) for path in files}
+    found = {str(path): file_problem(path) for path in files}
     if as_json:
         click.echo(json.dumps({"files": [{"file": name, "problem": why} for name, why in found.items()]}))
     else:
         for name, why in found.items():
             click.echo(f"{name}: {why or 'can be used'}")
-    ctx.exit(FOUND if any(found.values()) else 0)
+    ctx.exit(EXIT_PROBLEMS if any(found.values()) else 0)
--- a/landingdeal/commands/demo.py
+++ b/landingdeal/commands/demo.py
@@ -6,7 +6,7 @@
 
 import click
 
-from landingdeal.commands.main import FOUND
+from landingdeal.commands.main import EXIT_PROBLEMS
 
 
 @click.command()
@@ -30,4 +30,4 @@
             click.echo(f"{row['call']:>5} {row['class']:14} {row['at_ms']:8.0f}  {answer:12} "
                        f"{row['replayed_ms']:8.1f} {row['late_ms']:8.2f}  {row['ended_by']}")  # fmt: skip
         click.echo(f"{shown.planned} calls, {len(left)} without exactly one final answer")
-    ctx.exit(FOUND if left or len(shown.table) < shown.planned else 0)
+    ctx.exit(EXIT_PROBLEMS if left or len(shown.table) < shown.planned else 0)
--- a/landingdeal/commands/main.py
+++ b/landingdeal/commands/main.py
@@ -10,8 +10,8 @@
 
 from landingdeal.errors import ConfigError
 
-FOUND, CAN_NOT = 1, 2
-LAZY = {
+EXIT_PROBLEMS, EXIT_CANNOT_RUN = 1, 2
+LAZY_COMMANDS = {
     "serve": ("landingdeal.commands.serve", "serve", "Start the program, as without a command."),
     "demo": ("landingdeal.commands.demo", "demo", "Show the program at work, with stand-ins."),
     "config": ("landingdeal.commands.config", "config", "Check configuration files."),
@@ -19,26 +19,28 @@
 }
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     """Knows its commands by name, and what they are by module."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted(LAZY)
+        return sorted(LAZY_COMMANDS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        if name not in LAZY:
+        if name not in LAZY_COMMANDS:
             return None
-        module, attribute, _ = LAZY[name]
+        module, attribute, _ = LAZY_COMMANDS[name]
         made = getattr(importlib.import_module(module), attribute)
         assert isinstance(made, click.Command)
         return made
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         with formatter.section("Commands"):
-            formatter.write_dl([(name, LAZY[name][2]) for name in self.list_commands(ctx)])
+            formatter.write_dl([(name, LAZY_COMMANDS[name][2]) for name in self.list_commands(ctx)])
 
 
-@click.group(cls=Lazy, invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(
+    cls=LazyGroup, invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]}
+)
 @click.option("--operator", envvar="LANDINGDEAL_OPERATOR", default="", help="The operator's file (TOML).")
 @click.pass_context
 def group(ctx: click.Context, operator: str) -> None:
@@ -60,16 +62,16 @@
         ctx = error.ctx if isinstance(error, click.UsageError) else None
         where = f" (see {ctx.command_path} --help)" if ctx is not None else ""
         print(f"landingdeal: {error.format_message()}{where}", file=sys.stderr)
-        return CAN_NOT
+        return EXIT_CANNOT_RUN
     except click.Abort:
         print("landingdeal: stopped", file=sys.stderr)
-        return CAN_NOT
+        return EXIT_CANNOT_RUN
     except BrokenPipeError:  # whoever read our output has enough
         sys.stdout = None
         return 0
     except (ConfigError, OSError, UnicodeDecodeError) as error:
         print(f"landingdeal: {error}", file=sys.stderr)
-        return CAN_NOT
+        return EXIT_CANNOT_RUN
     except ModuleNotFoundError as error:
         print(f"landingdeal: this needs {error.name}: pip install 'landingdeal[tools]'", file=sys.stderr)
-        return CAN_NOT
+        return EXIT_CANNOT_RUN
--- a/landingdeal/operator.py
+++ b/landingdeal/operator.py
@@ -59,7 +59,7 @@
         raise ConfigError(f"the operator's file: {error}") from None
     capture = None
     if "capture" in sip:
-        from landingdeal.capture.settings import read_capture
+        from landingdeal.capture.settings import parse_capture_settings
 
-        capture = read_capture(sip["capture"])
+        capture = parse_capture_settings(sip["capture"])
     return Operator(contracts, read_sip(sip, settings), settings, capture)
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -9,13 +9,13 @@
 import pytest
 
 from landingdeal.capture.calls import CallRecord, Calls
-from landingdeal.capture.compare import compare, shifts
+from landingdeal.capture.compare import compare, time_shifts_ms
 from landingdeal.capture.encode import PcapFile, PcapngFile
 from landingdeal.capture.plan import ReplayOptions, SkippedCalls, plan
 from landingdeal.capture.reader import Reading, read
 from landingdeal.capture.replay import Replay
 from landingdeal.capture.results import last_tries
-from landingdeal.capture.rewrite import Scrubber, written
+from landingdeal.capture.rewrite import Scrubber, encode_capture
 from landingdeal.capture.sample import SDP, capture_file, packets, traffic
 from landingdeal.capture.sample import Shape as Traffic
 from landingdeal.lab.answerer import Answerer, Behaviour
@@ -40,10 +40,10 @@
 @pytest.mark.parametrize("form", [PcapFile(), PcapngFile()], ids=["pcap", "pcapng"])
 def test_what_is_rewritten_holds_the_same_calls(form: PcapFile, sample: Path, tmp_path: Path) -> None:
     out = tmp_path / "out"
-    out.write_bytes(b"".join(written(read([str(sample)], Reading()), form)))
+    out.write_bytes(b"".join(encode_capture(read([str(sample)], Reading()), form)))
     made = compare(calls_in(sample), calls_in(out))
     assert made.equal and len(made.pairs) == 20
-    assert max(map(abs, shifts(made)["start_ms"])) < 0.1
+    assert max(map(abs, time_shifts_ms(made)["start_ms"])) < 0.1
 
 
 def test_filter_merge_and_compare(sample: Path, tmp_path: Path) -> None:
@@ -85,7 +85,7 @@
         ("call-id", "x@10.4.7.9"), ("subject", "test-report"), ("content-type", "application/sdp"),
         body=SDP.replace(b"o=- ", b"o=almaz ").replace(b"127.0.0.1", b"10.4.7.9"),
     )  # fmt: skip
-    made = Scrubber("k").message(message)
+    made = Scrubber("k").scrub_message(message)
     text = repr(made)
     secrets = ("almaz", "Almaz", "Kebede", "abay", "10.4.7.9", "db8:1::5", "payments", "110123", "Digest")
     for secret in secrets:
@@ -93,7 +93,7 @@
     assert re.match(r"sip:\+2\d{9}@h[0-9a-f]{8}\.example:5070;user=phone$", made.uri)
     assert made.get("subject") == "test-report"
     assert len(made.body.splitlines()) == len(message.body.splitlines())
-    assert isinstance(made, Message) and Scrubber("k").message(message) == made
+    assert isinstance(made, Message) and Scrubber("k").scrub_message(message) == made
 
 
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -22,7 +22,7 @@
 from landingdeal.capture import progress
 from landingdeal.capture.calls import CallRecord, Calls, Outcome
 from landingdeal.capture.encode import PcapFile
-from landingdeal.capture.language import BadFilter, parse
+from landingdeal.capture.language import FilterError, parse_filter
 from landingdeal.capture.limits import AdmissionControl, ConnectBackoff, ReplayLimits
 from landingdeal.capture.plan import PlannedCall, ReplayOptions, SkippedCalls, fingerprint, identity, plan
 from landingdeal.capture.reader import Reading, read
@@ -74,10 +74,10 @@
 )  # fmt: skip
 def test_filters(text: str, count: int | None, calls: list[CallRecord]) -> None:
     if count is None:
-        with pytest.raises(BadFilter, match="column"):
-            parse(text)
+        with pytest.raises(FilterError, match="column"):
+            parse_filter(text)
     else:
-        assert sum(map(parse(text), calls)) == count
+        assert sum(map(parse_filter(text), calls)) == count
 
 
 @pytest.mark.parametrize(
@@ -91,8 +91,8 @@
     ],
 )  # fmt: skip
 def test_errors_of_a_filter_point_at_the_column(text: str, column: int, why: str) -> None:
-    with pytest.raises(BadFilter, match=f"^filter, column {column}: ") as error:
-        parse(text)
+    with pytest.raises(FilterError, match=f"^filter, column {column}: ") as error:
+        parse_filter(text)
     assert why in str(error.value)
 
 
--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -19,7 +19,7 @@
 from landingdeal.capture.repair import repair
 from landingdeal.capture.rotation import Bounds, Closed, full, to_remove
 from landingdeal.capture.sample import START_NS, Sent, Shape, capture_file, packets, traffic
-from landingdeal.capture.settings import read_capture
+from landingdeal.capture.settings import parse_capture_settings
 from landingdeal.capture.sink import WAITING_MOST, Sink, wait_written
 from landingdeal.clock import now_ms
 from landingdeal.errors import ConfigError
@@ -211,7 +211,7 @@
 )  # fmt: skip
 def test_settings_are_refused_with_section_key_and_reason(raw: dict[str, object], why: str) -> None:
     with pytest.raises(ConfigError, match=f"sip.capture.*{why}"):
-        read_capture(raw)
+        parse_capture_settings(raw)
 
 
 # --- the running front ---
