--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -41,7 +41,7 @@
     yield from calls.end()
 
 
-def told(reading: Reading, calls: int) -> dict[str, Any]:
+def check_report(reading: Reading, calls: int) -> dict[str, Any]:
     """What `check --json` prints."""
     problems = [
         {"kind": p.kind.value, "offset": p.offset, "packet": p.packet, "detail": p.detail, "file": p.file}
@@ -72,13 +72,13 @@
     reading = Reading()
     calls = sum(1 for _ in read_calls(files, reading, strict_checksums))
     if as_json:
-        click.echo(json.dumps(told(reading, calls)))
+        click.echo(json.dumps(check_report(reading, calls)))
     else:
         for problem in reading.problems.kept:
             click.echo(problem.line())
-        left = len(reading.problems) - len(reading.problems.kept)
-        if left:
-            click.echo(f"{left} more problems")
+        omitted = len(reading.problems) - len(reading.problems.kept)
+        if omitted:
+            click.echo(f"{omitted} more problems")
         click.echo(
             f"{reading.counts['packets']} packets, {reading.counts['messages']} messages, {calls} calls, "
             f"{len(reading.problems) or 'no'} problems"
@@ -95,27 +95,28 @@
     reading = Reading()
     outcomes: Counter[str] = Counter()
     classes: Counter[str] = Counter()
-    again = marked = 0
+    retried = incomplete = 0
     for call in read_calls(files, reading, False):
         outcomes[call.outcome.value] += 1
         classes[call.class_name or "-"] += 1
-        again += bool(call.first_try)
-        marked += call.begun_before or call.cut_off
+        retried += bool(call.first_try)
+        incomplete += call.begun_before or call.cut_off
     seconds = (reading.last_ns - reading.first_ns) / 1e9
-    rows: dict[str, Any] = {
+    summary: dict[str, Any] = {
         "first": datetime.fromtimestamp(reading.first_ns / 1e9, UTC).isoformat(timespec="milliseconds"),
         "seconds": round(seconds, 3), "packets": reading.counts["packets"],
         "messages": reading.counts["messages"], "calls": outcomes.total(),
         "outcomes": dict(sorted(outcomes.items())),
-        "classes": dict(sorted(classes.items())), "tried again": again, "begun before or cut off": marked,
-        "problems": len(reading.problems), "counts": dict(sorted(reading.counts.items())),
+        "classes": dict(sorted(classes.items())), "tried again": retried,
+        "begun before or cut off": incomplete, "problems": len(reading.problems),
+        "counts": dict(sorted(reading.counts.items())),
     }  # fmt: skip
     if as_json:
-        click.echo(json.dumps(rows))
+        click.echo(json.dumps(summary))
     else:
-        for name, value in rows.items():
+        for name, value in summary.items():
             if isinstance(value, dict):
-                value = ", ".join(f"{count} {what}" for what, count in value.items())
+                value = ", ".join(f"{count} {label}" for label, count in value.items())
             click.echo(f"{name:24} {value}")
     ctx.exit(exit_code(reading))
 
@@ -128,17 +129,17 @@
 def calls(ctx: click.Context, files: tuple[str, ...], as_csv: bool, as_json: bool) -> None:
     """List the calls, one a line."""
     reading = Reading()
-    found = read_calls(files, reading, False)
+    records = read_calls(files, reading, False)
     if as_json:
-        for call in found:  # one object a line: memory does not grow with the file
+        for call in records:  # one object a line: memory does not grow with the file
             click.echo(json.dumps(as_row(call)))
     elif as_csv:
         writer = csv.DictWriter(sys.stdout, COLUMNS)
         writer.writeheader()
-        for call in found:
+        for call in records:
             writer.writerow(as_row(call))
     else:
-        for line in call_table(found):
+        for line in call_table(records):
             click.echo(line)
     ctx.exit(exit_code(reading))
 
@@ -186,41 +187,41 @@
         retries=RetryPolicy(given["retries"]),
         transport=(transport or "").upper(),
     )
-    found = chosen(files, reading, given["where"], given["from_s"], given["until_s"])
-    made = plan(found, options, skipped)
-    if not made:
+    records = select_calls(files, reading, given["where"], given["from_s"], given["until_s"])
+    planned = plan(records, options, skipped)
+    if not planned:
         raise click.ClickException(f"nothing to offer in {', '.join(files)}: {skipped.reasons or 'no calls'}")
     limits = ReplayLimits(max_pending=given["outstanding"], max_per_s=given["per_s"])
-    engine = Replay(
-        made, address(to, "--to"), options, limits, state_file=given["state"], t1_ms=given["t1_ms"]
+    runner = Replay(
+        planned, address(to, "--to"), options, limits, state_file=given["state"], t1_ms=given["t1_ms"]
     )
     for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, lambda *_: engine.stop())
-    report = engine.run()
-    told = {"planned": len(made), "left_out": skipped.reasons, **summary(report)}
+        signal.signal(number, lambda *_: runner.stop())
+    report = runner.run()
+    output = {"planned": len(planned), "left_out": skipped.reasons, **summary(report)}
     if given["as_json"]:
         if given["each"]:
-            told["each"] = list(rows(report))
-        click.echo(json.dumps(told))
+            output["each"] = list(rows(report))
+        click.echo(json.dumps(output))
     else:
         for row in rows(report) if given["each"] else ():
             click.echo("  ".join(f"{name}={value}" for name, value in row.items() if value not in ("", -1)))
-        for name, value in told.items():
+        for name, value in output.items():
             click.echo(f"{name:16} {value}")
-    ctx.exit(EXIT_PROBLEMS if told["errors"] or told["twice_answered"] or report.stopped else 0)
+    ctx.exit(EXIT_PROBLEMS if output["errors"] or output["twice_answered"] or report.stopped else 0)
 
 
-def chosen(
-    files: tuple[str, ...], reading: Reading, where: str, from_s: float, until_s: float | None
+def select_calls(
+    files: tuple[str, ...], reading: Reading, filter_text: str, from_s: float, until_s: float | None
 ) -> Iterator[CallRecord]:
     """The calls of a span of time and of a filter."""
     from landingdeal.capture.language import parse_filter
 
-    test, first = parse_filter(where), -1
+    predicate, first_ns = parse_filter(filter_text), -1
     for call in read_calls(files, reading, False):
-        first = call.start_ns if first < 0 else min(first, call.start_ns)
-        at = (call.start_ns - first) / 1e9
-        if at >= from_s and (until_s is None or at < until_s) and test(call):
+        first_ns = call.start_ns if first_ns < 0 else min(first_ns, call.start_ns)
+        offset_s = (call.start_ns - first_ns) / 1e9
+        if offset_s >= from_s and (until_s is None or offset_s < until_s) and predicate(call):
             yield call
 
 
@@ -231,9 +232,9 @@
 def ladder(ctx: click.Context, call: str, files: tuple[str, ...]) -> None:
     """Draw the ladder of one CALL, named by its number or its Call-ID."""
     reading = Reading()
-    for found in read_calls(files, reading, False):
-        if call in (found.call_id, str(found.number)):
-            for line in ladder_lines(found):
+    for record in read_calls(files, reading, False):
+        if call in (record.call_id, str(record.number)):
+            for line in ladder_lines(record):
                 click.echo(line)
             return
     raise click.ClickException(f"no call {call!r} in {', '.join(files)}")
--- a/landingdeal/commands/capture_files.py
+++ b/landingdeal/commands/capture_files.py
@@ -25,19 +25,19 @@
     return PcapngFile() if ".pcapng" in path.name else PcapFile()
 
 
-def write(out: Path, messages: Iterable[Seen]) -> None:
+def write_capture(out: Path, messages: Iterable[Seen]) -> None:
     """Written beside and renamed: a command that is stopped leaves no half of a file."""
     from landingdeal.capture.rewrite import encode_capture
 
-    part = out.with_name(out.name + ".part")
+    part_path = out.with_name(out.name + ".part")
     try:
-        with part.open("wb") as file:
+        with part_path.open("wb") as file:
             for piece in encode_capture(messages, file_format_of(out)):
                 file.write(piece)
-        os.replace(part, out)
+        os.replace(part_path, out)
     finally:
         with contextlib.suppress(OSError):
-            part.unlink(missing_ok=True)
+            part_path.unlink(missing_ok=True)
 
 
 @capture.command("filter")
@@ -56,12 +56,12 @@
             last = max([call.start_ns, call.over_ns, *(step.time_ns for step in call.steps)])
             spans.setdefault(call.call_id, []).append((call.start_ns, last))
 
-    def kept() -> Iterator[Seen]:
+    def selected() -> Iterator[Seen]:
         for seen in read([str(file)], Reading()):
             if any(low <= seen.time_ns <= high for low, high in spans.get(seen.message.call_id, ())):
                 yield seen
 
-    write(out, kept())
+    write_capture(out, selected())
     click.echo(f"{sum(map(len, spans.values()))} calls to {out}")
     ctx.exit(exit_code(reading))
 
@@ -73,7 +73,7 @@
 def merge(ctx: click.Context, files: tuple[str, ...], out: Path) -> None:
     """Write the messages of several captures, in order of time, to one."""
     reading = Reading()
-    write(out, read(files, reading))
+    write_capture(out, read(files, reading))
     click.echo(f"{reading.counts['messages']} messages of {len(files)} captures to {out}")
     ctx.exit(exit_code(reading))
 
@@ -88,7 +88,7 @@
     from landingdeal.capture.rewrite import Scrubber
 
     scrubber, reading = Scrubber(key), Reading()
-    write(out, map(scrubber.scrub_captured, read([str(file)], reading)))
+    write_capture(out, map(scrubber.scrub_captured, read([str(file)], reading)))
     click.echo(f"{reading.counts['messages']} messages to {out}")
     ctx.exit(exit_code(reading))
 
@@ -99,14 +99,14 @@
 def repair(file: Path, out: Path) -> None:
     """Cut a damaged tail off: all that is whole is kept."""
     from landingdeal.capture.formats import NotCapture
-    from landingdeal.capture.repair import repair as cut
+    from landingdeal.capture.repair import repair as repair_file
 
     try:
-        done = cut(file, out)
+        repaired = repair_file(file, out)
     except NotCapture as error:
         raise click.ClickException(f"{file}: {error}") from None
-    what = f"cut {done.cut} bytes: {done.why}" if done.why else "nothing to cut"
-    click.echo(f"{out}: {done.packets} packets, {done.kept} bytes; {what}")
+    result = f"cut {repaired.cut} bytes: {repaired.why}" if repaired.why else "nothing to cut"
+    click.echo(f"{out}: {repaired.packets} packets, {repaired.kept} bytes; {result}")
 
 
 @capture.command()
@@ -116,19 +116,23 @@
 @click.pass_context
 def compare(ctx: click.Context, a: Path, b: Path, as_json: bool) -> None:
     """Compare two captures call by call. Exit code 1 where calls are missing or ended otherwise."""
-    from landingdeal.capture.compare import compare as compared
+    from landingdeal.capture.compare import compare as compare_calls
     from landingdeal.capture.compare import time_shifts_ms
     from landingdeal.capture.results import quantile
 
     readings = Reading(), Reading()
-    made = compared(read_calls((str(a),), readings[0], False), read_calls((str(b),), readings[1], False))
-    later: dict[str, list[float]] = {name: values for name, values in time_shifts_ms(made).items() if values}
-    told: dict[str, Any] = {
-        "both": len(made.pairs), "only_a": len(made.only_a), "only_b": len(made.only_b),
+    comparison = compare_calls(
+        read_calls((str(a),), readings[0], False), read_calls((str(b),), readings[1], False)
+    )
+    shifts: dict[str, list[float]] = {
+        name: values for name, values in time_shifts_ms(comparison).items() if values
+    }
+    output: dict[str, Any] = {
+        "both": len(comparison.pairs), "only_a": len(comparison.only_a), "only_b": len(comparison.only_b),
         "differing": [
-            {"a": one.call_id, "b": other.call_id, "a_status": one.status, "b_status": other.status,
-             "a_outcome": one.outcome.value, "b_outcome": other.outcome.value}
-            for one, other in made.differing
+            {"a": call_a.call_id, "b": call_b.call_id, "a_status": call_a.status, "b_status": call_b.status,
+             "a_outcome": call_a.outcome.value, "b_outcome": call_b.outcome.value}
+            for call_a, call_b in comparison.differing
         ],
         "later": {
             name: {
@@ -136,20 +140,20 @@
                 "p99": round(quantile(values, 0.99), 3),
                 "most": round(max(values + [-value for value in values]), 3),
             }
-            for name, values in later.items()
+            for name, values in shifts.items()
         },
     }  # fmt: skip
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(output))
     else:
         click.echo(
-            f"{told['both']} calls in both, {told['only_a']} only in {a}, {told['only_b']} only in {b}"
+            f"{output['both']} calls in both, {output['only_a']} only in {a}, {output['only_b']} only in {b}"
         )
-        for row in told["differing"]:
+        for row in output["differing"]:
             click.echo(f"{row['a']} {row['a_outcome']} {row['a_status']} -> "
                        f"{row['b']} {row['b_outcome']} {row['b_status']}")  # fmt: skip
-        for name, values in told["later"].items():
+        for name, values in output["later"].items():
             click.echo(f"{name:10} later by p50 {values['p50']}, p99 {values['p99']}, most {values['most']}")
     if any(exit_code(reading) == EXIT_CANNOT_RUN for reading in readings):
         ctx.exit(EXIT_CANNOT_RUN)
-    ctx.exit(0 if made.equal else EXIT_PROBLEMS)
+    ctx.exit(0 if comparison.equal else EXIT_PROBLEMS)
--- a/landingdeal/commands/config.py
+++ b/landingdeal/commands/config.py
@@ -39,10 +39,12 @@
 @click.pass_context
 def check(ctx: click.Context, files: tuple[Path, ...], as_json: bool) -> None:
     """Check operator's files (TOML) and platform configurations (JSON); code 1 where one can't be used."""
-    found = {str(path): file_problem(path) for path in files}
+    problems = {str(path): file_problem(path) for path in files}
     if as_json:
-        click.echo(json.dumps({"files": [{"file": name, "problem": why} for name, why in found.items()]}))
+        click.echo(
+            json.dumps({"files": [{"file": name, "problem": problem} for name, problem in problems.items()]})
+        )
     else:
-        for name, why in found.items():
-            click.echo(f"{name}: {why or 'can be used'}")
-    ctx.exit(EXIT_PROBLEMS if any(found.values()) else 0)
+        for name, problem in problems.items():
+            click.echo(f"{name}: {problem or 'can be used'}")
+    ctx.exit(EXIT_PROBLEMS if any(problems.values()) else 0)
--- a/landingdeal/commands/demo.py
+++ b/landingdeal/commands/demo.py
@@ -19,15 +19,23 @@
     """Start the SIP front and two stand-in hubs, offer a small capture. Code 0: each call got one answer."""
     from landingdeal.lab.demo import demonstrate
 
-    shown = demonstrate(calls, per_s, seed)
-    left = shown.unanswered
+    demonstration = demonstrate(calls, per_s, seed)
+    unanswered = demonstration.unanswered
     if as_json:
-        click.echo(json.dumps({"planned": shown.planned, "unanswered": len(left), "calls": shown.table}))
+        click.echo(
+            json.dumps(
+                {
+                    "planned": demonstration.planned,
+                    "unanswered": len(unanswered),
+                    "calls": demonstration.table,
+                }
+            )
+        )
     else:
         click.echo(f"{'call':>5} {'class':14} {'at ms':>8}  {'answer':12} {'ms':>8} {'late ms':>8}  ended by")
-        for row in shown.table:
+        for row in demonstration.table:
             answer = f"{row['replayed']} {row['replayed_status']}"
             click.echo(f"{row['call']:>5} {row['class']:14} {row['at_ms']:8.0f}  {answer:12} "
                        f"{row['replayed_ms']:8.1f} {row['late_ms']:8.2f}  {row['ended_by']}")  # fmt: skip
-        click.echo(f"{shown.planned} calls, {len(left)} without exactly one final answer")
-    ctx.exit(EXIT_PROBLEMS if left or len(shown.table) < shown.planned else 0)
+        click.echo(f"{demonstration.planned} calls, {len(unanswered)} without exactly one final answer")
+    ctx.exit(EXIT_PROBLEMS if unanswered or len(demonstration.table) < demonstration.planned else 0)
--- a/landingdeal/commands/main.py
+++ b/landingdeal/commands/main.py
@@ -29,9 +29,9 @@
         if name not in LAZY_COMMANDS:
             return None
         module, attribute, _ = LAZY_COMMANDS[name]
-        made = getattr(importlib.import_module(module), attribute)
-        assert isinstance(made, click.Command)
-        return made
+        command = getattr(importlib.import_module(module), attribute)
+        assert isinstance(command, click.Command)
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         with formatter.section("Commands"):
@@ -54,14 +54,14 @@
 def run(arguments: list[str]) -> int:
     """The exit code; whatever can't be done is one line on standard error."""
     try:
-        made: Any = group.main(args=arguments, prog_name="landingdeal", standalone_mode=False)
-        return int(made or 0)
-    except click.exceptions.Exit as ended:
-        return ended.exit_code
+        result: Any = group.main(args=arguments, prog_name="landingdeal", standalone_mode=False)
+        return int(result or 0)
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
     except click.ClickException as error:
         ctx = error.ctx if isinstance(error, click.UsageError) else None
-        where = f" (see {ctx.command_path} --help)" if ctx is not None else ""
-        print(f"landingdeal: {error.format_message()}{where}", file=sys.stderr)
+        hint = f" (see {ctx.command_path} --help)" if ctx is not None else ""
+        print(f"landingdeal: {error.format_message()}{hint}", file=sys.stderr)
         return EXIT_CANNOT_RUN
     except click.Abort:
         print("landingdeal: stopped", file=sys.stderr)
