--- a/landingdeal/capture/compare.py
+++ b/landingdeal/capture/compare.py
@@ -1,4 +1,4 @@
-"""Two captures call by call: which calls are in both, how they ended, how far their times differ. Pure."""
+"""Compares two captures call by call: which calls are in both, their outcomes and their times. Pure."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 
 @dataclass(slots=True)
 class Comparison:
+    """The calls in both captures, as pairs, and those in only one."""
+
     pairs: list[tuple[CallRecord, CallRecord]] = field(default_factory=list)
     only_a: list[CallRecord] = field(default_factory=list)
     only_b: list[CallRecord] = field(default_factory=list)
 
     @property
     def differing(self) -> list[tuple[CallRecord, CallRecord]]:
-        """Pairs with another outcome, final answer or side that ended them."""
+        """Pairs that differ in outcome, final answer or the side that sent BYE."""
         return [(a, b) for a, b in self.pairs if _final_state(a) != _final_state(b)]
 
     @property
     def equal(self) -> bool:
+        """Whether both captures have the same calls with the same outcomes."""
         return not (self.only_a or self.only_b or self.differing)
 
 
@@ -31,7 +34,10 @@
 
 
 def compare(a: Iterable[CallRecord], b: Iterable[CallRecord]) -> Comparison:
-    """Pairs by Call-ID; what is left (a replay has new ones) by caller and number, in order of time."""
+    """Pairs calls by Call-ID, the rest by caller and called number in order of time.
+
+    The second step is for replays, which have new Call-IDs.
+    """
     comparison = Comparison()
     unmatched_b = {call.call_id: call for call in b}
     unmatched_a = []
@@ -61,7 +67,7 @@
 
 
 def time_shifts_ms(comparison: Comparison) -> dict[str, list[float]]:
-    """Milliseconds that B is later than A: starts (from each one's first), answers, holding times."""
+    """By how much B is later than A: start times (relative to the first pair), answer and holding times."""
     if not comparison.pairs:
         return {}
     first_a, first_b = (min(pair[n].start_ns for pair in comparison.pairs) for n in (0, 1))
--- a/landingdeal/capture/language.py
+++ b/landingdeal/capture/language.py
@@ -1,7 +1,7 @@
 """The filter language for calls: `class == "test-report" and answer_ms > 1500 and called ~ "^2"`.
 
-Comparisons of a field with a text, a number or true/false, joined by `and`, `or`, `not` and parentheses; `~`
-and `!~` search with a regular expression. Every error names the column at which it stands.
+A filter compares fields with a text, a number or true/false, joined by `and`, `or`, `not` and parentheses;
+`~` and `!~` search with a regular expression. Every error message names the column of the error.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
 
 
 class FilterError(ConfigError):
-    """The text says what is wrong, and at which column."""
+    """A filter can't be parsed. The message names the column and the reason."""
 
 
 def _error_at(token: Token, reason: str) -> FilterError:
@@ -86,7 +86,7 @@
 
 
 class _FilterBuilder(Transformer[Token, CallPredicate]):
-    """From the parsed tree to one function."""
+    """Builds one predicate from the syntax tree of a filter."""
 
     def or_expression(self, predicates: list[CallPredicate]) -> CallPredicate:
         return lambda call: any(predicate(call) for predicate in predicates)
@@ -103,7 +103,7 @@
         field = FLAG_FIELDS.get(name)
         if field is None:
             known = name in TEXT_FIELDS or name in NUMBER_FIELDS
-            reason = f"{name} wants a comparison" if known else _unknown_field(name)
+            reason = f"{name} needs a comparison" if known else _unknown_field(name)
             raise _error_at(name, reason)
         return lambda call: bool(field(call))
 
@@ -125,13 +125,13 @@
     def _text_comparison(name: Token, symbol: Token, value: Token) -> CallPredicate:
         field = TEXT_FIELDS[name]
         if value.type == "NUMBER" and name != "called":
-            raise _error_at(value, f"{name} is a text")
+            raise _error_at(value, f"{name} is compared with a text, not a number")
         text = re.sub(r"\\(.)", r"\1", value[1:-1]) if value.type == "STRING" else str(value)
         if symbol in ("~", "!~"):
             try:
                 pattern = re.compile(value[1:-1] if value.type == "STRING" else re.escape(value))
             except re.error as error:
-                raise _error_at(value, f"no regular expression: {error}") from None
+                raise _error_at(value, f"invalid regular expression: {error}") from None
             should_match = symbol == "~"
             return lambda call: (pattern.search(field(call)) is not None) is should_match
         compare = OPERATORS[symbol]
@@ -140,7 +140,7 @@
     @staticmethod
     def _number_comparison(name: Token, symbol: Token, value: Token) -> CallPredicate:
         if symbol not in OPERATORS:
-            raise _error_at(symbol, f"{name} is a number, which {symbol} does not search")
+            raise _error_at(symbol, f"{name} is a number; {symbol} applies only to texts")
         if value.type != "NUMBER":
             raise _error_at(value, f"{name} is a number")
         field, compare, number = NUMBER_FIELDS[name], OPERATORS[symbol], float(value)
@@ -148,14 +148,14 @@
 
 
 def _unknown_field(name: str) -> str:
-    return f"no field {name}; known are {', '.join(sorted([*TEXT_FIELDS, *NUMBER_FIELDS, *FLAG_FIELDS]))}"
+    return f"unknown field {name}; fields: {', '.join(sorted([*TEXT_FIELDS, *NUMBER_FIELDS, *FLAG_FIELDS]))}"
 
 
 _parser = Lark(GRAMMAR, parser="lalr", lexer="contextual", maybe_placeholders=False)
 
 
 def parse_filter(text: str) -> CallPredicate:
-    """Raises BadFilter. An empty filter lets every call through."""
+    """The predicate of a filter. An empty filter accepts every call. Raises FilterError."""
     if not text.strip():
         return lambda call: True
     try:
@@ -165,13 +165,13 @@
             raise error.orig_exc from None
         raise
     except UnexpectedEOF:
-        raise FilterError(f"filter, column {len(text) + 1}: it ends too early") from None
+        raise FilterError(f"filter, column {len(text) + 1}: the filter ends too early") from None
     except UnexpectedCharacters as error:
         raise FilterError(
-            f"filter, column {error.column}: {text[error.pos_in_stream or 0 :][:12]!r}"
+            f"filter, column {error.column}: unexpected {text[error.pos_in_stream or 0 :][:12]!r}"
         ) from None
     except UnexpectedInput as error:
         token = getattr(error, "token", None)
         if token is None or token.type == "$END":
-            raise FilterError(f"filter, column {len(text) + 1}: it ends too early") from None
-        raise FilterError(f"filter, column {token.column}: {str(token)!r} was not expected") from None
+            raise FilterError(f"filter, column {len(text) + 1}: the filter ends too early") from None
+        raise FilterError(f"filter, column {token.column}: unexpected {str(token)!r}") from None
--- a/landingdeal/capture/limits.py
+++ b/landingdeal/capture/limits.py
@@ -1,7 +1,8 @@
-"""What a replay may have out at once. Decisions only: the time is told.
+"""Load limits of a replay. No I/O and no clock of its own: the caller passes the time.
 
-Open loop means that a slow peer never shifts later arrivals; so what would pass a bound is shed and counted,
-and an address that can't be reached is left alone for a while instead of being called by every call at once.
+The load is open loop: a slow peer never delays later arrivals. Calls over a limit are therefore shed and
+counted, not queued. After a failed connection the address is not dialled for a back-off time, so that
+the following calls don't all dial it at once.
 """
 
 from __future__ import annotations
@@ -11,16 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayLimits:
+    """Limits on the calls in progress, on the send rate and on connection attempts."""
+
     max_pending: int = 10_000  # calls without a final answer
     max_established: int = 50_000
-    max_per_s: float = 5_000.0  # first messages, tries again included
-    burst: float = 500.0
-    initial_backoff_ms: float = 100.0  # after the first failure to connect; doubles
+    max_per_s: float = 5_000.0  # set-ups, retries included
+    burst: float = 500.0  # set-ups that may exceed the rate at once
+    initial_backoff_ms: float = 100.0  # after the first failed connection; doubles with each further one
     max_backoff_ms: float = 5_000.0
 
 
 class AdmissionControl:
-    """Asked before each send; says why a call is shed, or nothing."""
+    """Admits or sheds each set-up: limits on calls in progress, and a token bucket for the rate."""
 
     def __init__(self, limits: ReplayLimits) -> None:
         self.limits = limits
@@ -28,6 +31,7 @@
         self._tokens, self._refilled_at_ms = limits.burst, 0.0
 
     def shed_reason(self, now_ms: float) -> str:
+        """Why the set-up is shed; empty if it is admitted, which also counts it as pending."""
         limits = self.limits
         self._tokens = min(
             self._tokens + max(now_ms - self._refilled_at_ms, 0.0) / 1000 * limits.max_per_s, limits.burst
@@ -44,16 +48,17 @@
         return ""
 
     def answered(self, is_established: bool) -> None:
+        """An admitted set-up got its final answer, or failed."""
         self.pending -= 1
         self.established += is_established
 
     def call_ended(self) -> None:
-        """A call that stood is over."""
+        """An established call ended."""
         self.established -= 1
 
 
 class ConnectBackoff:
-    """One address: when it may be tried again after it could not be reached."""
+    """Exponential back-off of the connections to one address."""
 
     def __init__(self, limits: ReplayLimits) -> None:
         self.limits = limits
--- a/landingdeal/capture/plan.py
+++ b/landingdeal/capture/plan.py
@@ -1,7 +1,7 @@
-"""From calls of a capture to a plan of offered load: what is sent, when, and after what. Pure.
+"""Turns the calls of a capture into a plan of offered calls. Pure.
 
-Open loop: each call's first message has an absolute place in the plan, whatever became of the calls before.
-What depends on answers (ACK, BYE, CANCEL) is planned as a span after them.
+The load is open loop: each INVITE has an absolute time in the plan, independent of how earlier calls end.
+CANCEL and BYE are planned as delays after the INVITE and the final answer.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedCall:
-    """One call to be offered. Spans in milliseconds; -1 where the capture holds nothing of the kind.
+    """One call to be offered. Times are -1 if the capture has no such event.
 
-    `at_ms` is counted from the start of the replay. `copy` is 0 for the call as recorded.
+    `at_ms` counts from the start of the replay. `copy_number` is 0 for the call as recorded.
     """
 
-    index: int  # in the order of the plan; what a resumed replay counts by
-    number: int  # of the call in the capture
+    index: int  # position in the plan; the state file refers to calls by it
+    number: int  # the call's number in the capture
     copy_number: int
     at_ms: float
     invite: Message
@@ -34,28 +34,29 @@
     class_name: str
     patience_ms: float
     cancel_after_ms: float  # after the INVITE
-    hold_ms: float  # after the final answer, until this side's BYE; -1: the other side ends it
-    recorded_ms: float  # after the INVITE, the final answer
+    hold_ms: float  # from the final answer to our BYE
+    recorded_ms: float  # from the INVITE to the final answer
     recorded_status: int
     recorded_outcome: Outcome
-    first_try: int = 0
+    first_try: int = 0  # number of the call that this one retries; 0 for a first try
 
     @property
     def name(self) -> str:
+        """The call's number in the capture, with the copy's number for a copy."""
         return f"{self.number}" if not self.copy_number else f"{self.number}.{self.copy_number}"
 
 
 @dataclass(frozen=True, slots=True)
 class ReplayOptions:
-    """How a capture is offered."""
+    """How the calls of a capture are offered."""
 
-    speed: float = 1.0  # 2: in half the time; spans within a call stay as they were
-    scale: int = 1  # so many callers for each one recorded
-    spread_ms: float = 500.0  # over which copies start after the recorded one, at exponential distances
+    speed: float = 1.0  # 2 offers the calls in half the time; times within a call are unchanged
+    scale: int = 1  # calls offered per recorded call, the recorded one included
+    spread_ms: float = 500.0  # mean delay of a copy after the recorded call; exponentially distributed
     seed: int = 1
     retries: RetryPolicy = RetryPolicy.RECORDED
-    transport: str = ""  # UDP or TCP instead of the recorded one
-    linger_ms: float = 5000.0  # a call that the other side ended in the capture is ended by us so much later
+    transport: str = ""  # UDP or TCP; empty for the recorded transport
+    linger_ms: float = 5000.0  # wait for the called side's BYE, beyond the recorded time, before we send BYE
 
 
 def skip_reason(call: CallRecord) -> str:
@@ -66,7 +67,7 @@
 
 
 def planned_call(call: CallRecord, first_ns: int, options: ReplayOptions) -> PlannedCall:
-    """The call as recorded."""
+    """The plan entry for a call as recorded."""
     assert call.invite is not None
     cancel = (call.cancel_ns - call.invite_ns) / 1e6 if call.cancel_ns >= 0 else -1.0
     hold = -1.0
@@ -74,9 +75,9 @@
         if call.bye_by is Side.CALLER:
             hold = call.hold_ms
         elif call.bye_by is Side.CALLED:
-            hold = call.hold_ms + options.linger_ms  # it is for the other side to end it; else we do
+            hold = call.hold_ms + options.linger_ms  # the called side should end it; if it doesn't, we do
         else:
-            hold = options.linger_ms  # its end is not in the capture
+            hold = options.linger_ms  # the capture doesn't contain its end
     return PlannedCall(
         index=0, number=call.number, copy_number=0, at_ms=(call.invite_ns - first_ns) / 1e6 / options.speed,
         invite=call.invite, transport=options.transport or call.transport, class_name=call.class_name,
@@ -87,7 +88,7 @@
 
 
 def with_copies(call: PlannedCall, options: ReplayOptions) -> Iterator[PlannedCall]:
-    """The call and its copies: each with an identity of its own, started a little later."""
+    """The call and its copies, each started after a random delay."""
     yield call
     rng = random.Random(f"{options.seed}/{call.number}")
     for copy_number in range(1, options.scale):
@@ -97,7 +98,7 @@
 
 @dataclass(slots=True)
 class SkippedCalls:
-    """What was not planned, and why."""
+    """Counts the calls left out of the plan, by reason."""
 
     reasons: dict[str, int]
 
@@ -108,7 +109,7 @@
 def plan(
     calls: Iterable[CallRecord], options: ReplayOptions, skipped: SkippedCalls, first_ns: int | None = None
 ) -> list[PlannedCall]:
-    """All calls in the order in which they are offered, numbered; `left` counts those that can't be."""
+    """The calls in the order in which they are offered, numbered; `skipped` counts those left out."""
     found: list[CallRecord] = []
     for call in calls:
         reason = skip_reason(call)
@@ -127,13 +128,13 @@
 
 
 def identity(call: PlannedCall, try_number: int, seed: int) -> tuple[str, str]:
-    """Call-ID and From tag of one try of a planned call: the same on every run with the same seed."""
+    """Call-ID and From tag of one try of a planned call; the same for the same seed."""
     rng = random.Random(f"{seed}/{call.number}/{call.copy_number}/{try_number}")
     return f"{rng.getrandbits(64):016x}", f"r{rng.getrandbits(32):08x}"
 
 
 def fingerprint(calls: Sequence[PlannedCall]) -> str:
-    """What a saved state belongs to: two plans with the same one offer the same calls at the same times."""
+    """Identifies a plan in the state file: equal fingerprints mean the same calls at the same times."""
     import xxhash
 
     digest = xxhash.xxh3_128()
--- a/landingdeal/capture/player.py
+++ b/landingdeal/capture/player.py
@@ -1,8 +1,8 @@
-"""One try of a planned call, as a user agent client plays it against real answers. No I/O, no own clock.
+"""One try of a planned call: a SIP user agent client. No I/O and no clock of its own.
 
-Transactions and timers are those of the SIP front (RFC 3261 17); the layer that owns the thread gives time
-and timers, the flow sends. What the capture holds sets when CANCEL and BYE go out; tags, routes and targets
-are those of the answers that really came.
+The transactions and their timers are those of the SIP front (RFC 3261 17). The event loop's owner provides
+time and timers, and the flow sends. The capture sets when CANCEL and BYE are sent; tags, routes and remote
+targets come from the responses received during the replay.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from landingdeal.sip.message import Message, request, response
 from landingdeal.sip.transaction import ClientTransaction, Flow, Layer, ServerTransaction, State, within
 
-DEFAULT_PATIENCE_MS = 32_000.0  # where the capture tells none
-REPLACED_HEADERS = frozenset((
+DEFAULT_PATIENCE_MS = 32_000.0  # if the capture has none
+REPLACED_HEADERS = frozenset((  # not copied from the recorded INVITE
     "via", "from", "to", "call-id", "cseq", "contact", "route", "record-route", "max-forwards",
     "content-length", "proxy-authorization", "authorization",
 ))  # fmt: skip
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayAddresses:
-    """Where the load goes, and where it comes from."""
+    """Remote and local address of a flow."""
 
     remote: tuple[str, int]
     local: tuple[str, int]
@@ -34,22 +34,22 @@
 
 @dataclass(slots=True)
 class ReplayResult:
-    """What became of one try. Spans in milliseconds from when its INVITE was due; -1: did not happen."""
+    """The outcome of one try. Times count from when its INVITE was due; -1: did not happen."""
 
     planned: PlannedCall
     try_number: int
-    late_ms: float  # by so much the INVITE left after its plan
+    late_ms: float  # delay of the INVITE behind the plan
     status: int = 0
     answer_ms: float = -1.0
     outcome: Outcome = Outcome.UNANSWERED
     retry_after_ms: float = 0.0
-    ended_by: str = ""  # us, them, or nobody
+    ended_by: str = ""  # "us" or "them": who sent the BYE; else empty
     error: str = ""
-    final_answers: int = 0  # final answers to the INVITE; more than one breaks the first rule
+    final_answers: int = 0  # to the INVITE; more than one is a fault of the program under load
 
 
 class CallPlayer:
-    """`over` is called once, with the result, when nothing more of the call will happen."""
+    """Plays one try. Calls `on_answered` on the final answer or failure, `on_finished` at the end."""
 
     def __init__(
         self,
@@ -75,9 +75,10 @@
         self.start_ms = 0.0
         self.branch_count = 0
 
-    # --- out ---
+    # --- sending ---
 
     def start(self, due_ms: float) -> None:
+        """Sends the INVITE and sets the timers of the caller's patience."""
         self.start_ms = due_ms
         self.result.late_ms = self.layer.now() - due_ms
         self.invite_transaction = self._start_client(self._invite(), self._on_invite_response)
@@ -87,7 +88,7 @@
             self.layer.at(due_ms + self.planned.cancel_after_ms, self.cancel)
         patience = self.planned.patience_ms or DEFAULT_PATIENCE_MS
         self.layer.at(due_ms + patience, self.cancel)
-        # after that nothing is awaited for longer than a transaction lasts
+        # the final answer to a cancelled INVITE is awaited for one transaction time-out
         self.layer.at(due_ms + patience + self.layer.timing.b, self._expire)
 
     def _via(self) -> str:
@@ -125,12 +126,12 @@
         return transaction
 
     def cancel(self) -> None:
-        """The caller has no more patience, or gave up at this point in the capture."""
+        """Cancels the INVITE: the patience is over, or the recorded call was cancelled at this time."""
         transaction = self.invite_transaction
         if self.cancel_requested or self.finished or transaction is None or self.result.final_answers:
             return
         self.cancel_requested = True
-        if self.provisional_received:  # else it has to wait for a provisional response (9.1)
+        if self.provisional_received:  # otherwise the CANCEL waits for a provisional response (9.1)
             self._send_cancel()
 
     def _send_cancel(self) -> None:
@@ -140,6 +141,7 @@
         )
 
     def send_bye(self) -> None:
+        """Ends the established call."""
         if self.dialog is None or self.dialog.over or self.finished:
             return
         self.dialog.over = True
@@ -151,7 +153,7 @@
         if message.status >= 200:
             self._finish()
 
-    # --- in ---
+    # --- receiving ---
 
     def _on_invite_response(self, message: Message) -> None:
         status = message.status
@@ -172,7 +174,7 @@
             self._establish(message)
         else:
             abandoned = self.cancel_requested and status == 487
-            timed_out = not message.get("via")  # made by our own timers
+            timed_out = not message.get("via")  # generated locally, by a timer or a transport error
             self.result.outcome = Outcome.WITHDRAWN if abandoned else Outcome.REFUSED
             if timed_out:
                 self.result.outcome, self.result.status = Outcome.UNANSWERED, 0
@@ -187,13 +189,13 @@
         self.dialog = Dialog(self.invite_transaction.request, message, self.flow, True)
         self._send_ack()
         self.on_answered(self)
-        if self.cancel_requested:  # it crossed our CANCEL: what stands for nobody is ended
+        if self.cancel_requested:  # the answer crossed our CANCEL: nobody wants the call any more
             self.send_bye()
         else:
             self.layer.at(self.layer.now() + max(self.planned.hold_ms, 0.0), self.send_bye)
 
     def _on_repeated_2xx(self, message: Message) -> None:
-        """A 2xx once more: its ACK got lost; or that of another fork, which is ended (13.2.2.4)."""
+        """Acknowledges a retransmitted 2xx again; ends the dialog of another fork (13.2.2.4)."""
         assert self.dialog is not None and self.invite_transaction is not None
         repeated_dialog = Dialog(self.invite_transaction.request, message, self.flow, True)
         if repeated_dialog.key == self.dialog.key:
@@ -207,7 +209,7 @@
         self.flow.send(self.dialog.make("ACK", self._via(), seq=self.dialog.invite_seq))
 
     def handle_response(self, message: Message) -> None:
-        """Any response of this call: found by branch and method (17.1.3)."""
+        """Passes a response of this call to its transaction, matched by branch and method (17.1.3)."""
         branch = message.get("via").partition("branch=")[2].partition(";")[0]
         key = f"{branch}|{message.cseq[1]}"
         for transaction in (self.invite_transaction, self.cancel_transaction, self.bye_transaction):
@@ -215,7 +217,7 @@
                 transaction.received(message)
 
     def handle_request(self, message: Message) -> None:
-        """A request of the other side within this call."""
+        """Answers a request that the other side sends within this call."""
         key = message.cseq
         known_transaction = self.server_transactions.get(key)
         if known_transaction is not None:
@@ -238,12 +240,14 @@
             case "OPTIONS" | "INFO" | "NOTIFY" if self.dialog is not None:
                 transaction.respond(response(message, 200))
             case "INVITE" | "UPDATE" if self.dialog is not None:
-                transaction.respond(response(message, 488))  # the capture holds no second description
+                transaction.respond(
+                    response(message, 488)
+                )  # a re-INVITE is not acceptable: the capture has no second session description
             case _:
                 transaction.respond(response(message, 481))
 
     def connection_failed(self) -> None:
-        """The connection is gone."""
+        """The TCP connection of this call failed."""
         transaction = self.invite_transaction
         if transaction is not None and transaction.state in (State.CALLING, State.PROCEEDING):
             transaction.failed()
@@ -252,6 +256,7 @@
             self._finish()
 
     def _expire(self) -> None:
+        """Ends the try if no final answer arrived in time."""
         if not self.finished and not self.result.final_answers:
             assert self.invite_transaction is not None
             self.invite_transaction.terminate()
@@ -266,7 +271,7 @@
 
 
 def retry_after_of(message: Message) -> float:
-    """The time to stay away that a refusal tells, in milliseconds; 0 where it tells none."""
+    """The wait that a refusal asks for (X-Later-Ms or Retry-After), in milliseconds; 0 if none."""
     text = message.get("x-later-ms").strip()
     if text.isascii() and text.isdecimal() and len(text) <= 9:
         return float(text)
--- a/landingdeal/capture/progress.py
+++ b/landingdeal/capture/progress.py
@@ -1,7 +1,7 @@
-"""How far a replay has come, saved so that a killed one goes on without offering a call twice.
+"""The state file of a replay. A killed replay resumes from it without offering a call twice.
 
-The state is written to a new file, flushed to the disk and renamed over the old one: a kill at any moment
-leaves one or the other. Calls are started in the order of the plan and are recorded before they are sent.
+The state is written to a new file, flushed to the disk and renamed over the old one, so that a kill at any
+moment leaves a whole file. Calls start in the order of the plan and are recorded before they are sent.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 class ReplayState(msgspec.Struct, forbid_unknown_fields=True):
-    """`started` calls of the plan may have gone out; those of them that are not in `done` were in flight."""
+    """The first `started` calls of the plan may have been sent; those not in `done` were in flight."""
 
     version: int
-    plan: str  # the fingerprint
-    at_ms: float  # how far the clock of the plan had come
+    plan: str  # fingerprint of the plan
+    at_ms: float  # time in the plan at the save
     started: int
-    done: dict[int, str]  # outcome by index, of calls that have ended
+    done: dict[int, str]  # outcomes of the finished calls, by index in the plan
 
 
 def load(path: Path, plan: str) -> ReplayState | None:
-    """None where there is none yet. Raises ConfigError on what belongs to another plan or is damaged."""
+    """Returns None if there is no file. Raises ConfigError if it is damaged or belongs to another plan."""
     try:
         raw = path.read_bytes()
     except FileNotFoundError:
@@ -36,16 +36,16 @@
     try:
         state: ReplayState = msgspec.json.decode(raw, type=ReplayState)
     except msgspec.DecodeError as error:
-        raise ConfigError(f"{path}: no state of a replay: {error}") from None
+        raise ConfigError(f"{path}: not a replay state file: {error}") from None
     if state.version != VERSION:
-        raise ConfigError(f"{path}: a state of version {state.version}, not {VERSION}")
+        raise ConfigError(f"{path}: state file version {state.version} is not supported, only {VERSION}")
     if state.plan != plan:
-        raise ConfigError(f"{path}: the state of another replay (other files, filter or options)")
+        raise ConfigError(f"{path}: state file of another replay (different files, filter or options)")
     return state
 
 
 def save(path: Path, state: ReplayState) -> None:
-    """Raises OSError; the old state is then untouched."""
+    """Replaces the state file. Raises OSError and then leaves the old file unchanged."""
     new_path = path.with_name(path.name + ".new")
     try:
         with new_path.open("wb") as file:
@@ -60,5 +60,5 @@
 
 
 def in_flight(state: ReplayState) -> list[int]:
-    """Calls that had gone out and not ended: they are not offered again."""
+    """Indexes of the calls that were started but not finished; a resumed replay does not offer them again."""
     return [index for index in range(state.started) if index not in state.done]
--- a/landingdeal/capture/replay.py
+++ b/landingdeal/capture/replay.py
@@ -1,7 +1,7 @@
-"""Offers a plan to an address over UDP or TCP: one thread with a timer heap, and the sockets.
+"""Offers the planned calls to an address over UDP or TCP. One event-loop thread runs all timers and calls.
 
-Every call of the plan gets one outcome. Nobody waits on a peer: connections are dialled off the thread,
-messages are queued, and what can't be sent is reported.
+Every planned call gets exactly one outcome. The event loop never blocks on the peer: connections are dialled
+in threads of their own, messages are queued, and calls that can't be sent are reported.
 """
 
 from __future__ import annotations
@@ -29,27 +29,29 @@
 from landingdeal.sip.transaction import Timing
 from landingdeal.threads import start_thread
 
-SAVE_AHEAD_MS = 1000.0  # calls that are due so soon are written down before they are sent
+SAVE_AHEAD_MS = 1000.0  # calls due within this time are recorded in the state file before they are sent
 SAVE_INTERVAL_MS = 250.0
 DIAL_TIMEOUT_MS = 2000.0
 MAX_CONNECTIONS = 64
-START_DELAY_MS = 100.0  # after the start: everything is there before the first call is due
+START_DELAY_MS = 100.0  # before the first call is due, so that sockets and threads are ready
 
 
 @dataclass(slots=True)
 class ReplayReport:
+    """What a replay did: a result for each try, and counters."""
+
     results: list[ReplayResult] = field(default_factory=list)
     shed: Counter[str] = field(default_factory=Counter)
-    left_in_flight: list[int] = field(default_factory=list)  # of the replay that this one goes on with
-    skipped: int = 0  # calls that an earlier run had offered
+    left_in_flight: list[int] = field(default_factory=list)  # in the interrupted run that this one resumes
+    skipped: int = 0  # calls that the interrupted run had already offered
     retries: int = 0
     retries_denied: int = 0
-    unmatched_messages: int = 0  # messages of no call of ours
+    unmatched_messages: int = 0  # received messages whose Call-ID is unknown
     stopped: bool = False
 
 
 class _UdpFlow:
-    """All calls go out from one socket."""
+    """One UDP socket, shared by all calls."""
 
     kind, reliable, alive, was_up = "UDP", False, True, True
 
@@ -71,7 +73,7 @@
             except OSError:
                 if self.sock.fileno() < 0:
                     return
-                self.failures += 1  # an ICMP error of an earlier datagram: nobody listens there
+                self.failures += 1  # an ICMP error for an earlier datagram: the port is closed
                 continue
             if data.strip(b"\r\n\0"):
                 message = decode_datagram(data)
@@ -82,14 +84,14 @@
         try:
             self.sock.sendto(encode(message), socket.MSG_DONTWAIT, self.target)
         except OSError:
-            self.failures += 1  # a datagram may get lost; the transaction sends it again
+            self.failures += 1  # treated as a lost datagram; the transaction retransmits
 
     def close(self) -> None:
         self.sock.close()
 
 
 class _TcpFlow:
-    """One connection of several; dialled again, with back-off, when the next call is due."""
+    """One of several TCP connections. A failed one is replaced, with back-off, when the next call is due."""
 
     kind, reliable = "TCP", True
 
@@ -97,7 +99,7 @@
         self.target, self.replay = target, replay
         host = "::1" if ":" in target[0] else "127.0.0.1"
         self.sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
-        self.sock.bind((host, 0))  # Via and Contact name our port before the connection is up
+        self.sock.bind((host, 0))  # Via and Contact need the local port before the connection is established
         self.local: tuple[str, int] = self.sock.getsockname()[:2]
         self.link: Link | None = None
         self.queued: list[Message] = []
@@ -105,7 +107,7 @@
         self.alive, self.was_up = True, False
 
     def dial(self) -> None:
-        """In a thread of its own."""
+        """Connects; runs in a thread of its own."""
         try:
             connect(self.sock, self.target, now_ms() + DIAL_TIMEOUT_MS)
         except OSError:
@@ -142,7 +144,10 @@
 
 
 class Replay:
-    """`run` offers the whole plan and returns when every call has its outcome, or `stop` was called."""
+    """One replay: `run` offers the plan and returns when every call has its outcome or `stop` is called.
+
+    It is also the environment of the calls' SIP transactions: it gives them the time and timers.
+    """
 
     def __init__(
         self,
@@ -162,17 +167,17 @@
         self.players: dict[str, CallPlayer] = {}  # by Call-ID
         self.outcomes: dict[int, str] = {}
         self.next_index = 0
-        self.pending = 0  # tries that are out or to come
+        self.pending = 0  # tries in progress or scheduled
         self.finished = threading.Event()
         self.udp: _UdpFlow | None = None
         self.tcp: dict[int, _TcpFlow] = {}
         self.state_file = state_file
         self.fingerprint = fingerprint(plan) if state_file is not None else ""
-        self.start_offset_ms = 0.0  # the plan's clock where this run begins
-        self.reserved_count = len(plan)  # calls that may be offered: all, unless a state is kept
+        self.start_offset_ms = 0.0  # time in the plan at which this run starts
+        self.reserved_count = len(plan)  # calls that may be offered; with a state file, those recorded in it
         self.start_ms = 0.0
 
-    # --- the layer that transactions need ---
+    # --- time and timers for the SIP transactions ---
 
     def at(self, deadline_ms: float, work: Work) -> None:
         self.loop.at(deadline_ms, work)
@@ -181,12 +186,12 @@
         return self.loop.now()
 
     def over(self, transaction: object) -> None:
-        pass  # a call's transactions end with it
+        pass  # transactions are forgotten together with their call
 
-    # --- the run ---
+    # --- running the plan ---
 
     def run(self) -> ReplayReport:
-        """Raises ConfigError on a state that is not of this plan, and OSError."""
+        """Offers the plan. Raises OSError, and ConfigError if the state file is unusable."""
         if self.state_file is not None:
             self._resume(self.state_file)
         if any(call.transport == "UDP" for call in self.plan):
@@ -207,7 +212,7 @@
         return self.report
 
     def stop(self) -> None:
-        """From a signal handler: what is out stays as it is."""
+        """Ends the run without ending calls in progress; may be called from a signal handler."""
         self.report.stopped = True
         self.finished.set()
 
@@ -215,14 +220,14 @@
         return self.start_ms + call.at_ms - self.start_offset_ms
 
     def _offer_due(self) -> None:
-        """Offers what is due, and comes again for the next: the heap never holds the whole plan."""
+        """Offers the calls that are due and sets one timer for the next, to keep the timer heap small."""
         while self.next_index < len(self.plan):
             call = self.plan[self.next_index]
             due_ms = self._due_ms(call)
             if due_ms > self.loop.now():
                 self.loop.at(due_ms, self._offer_due)
                 return
-            if self.next_index >= self.reserved_count:  # not written down yet: the disk is slow
+            if self.next_index >= self.reserved_count:  # not yet in the state file: the disk is slow
                 self.loop.at(self.loop.now() + 1, self._offer_due)
                 return
             self.next_index += 1
@@ -259,7 +264,7 @@
         player.start(due_ms)
 
     def _select_flow(self, call: PlannedCall) -> _UdpFlow | _TcpFlow | None:
-        """Calls from one recorded address share a connection; None while the address is left alone."""
+        """Calls of one recorded Contact and copy share a TCP connection; None during connect back-off."""
         if call.transport == "UDP":
             return self.udp
         key = zlib.crc32(f"{call.invite.get('contact')}/{call.copy_number}".encode()) % MAX_CONNECTIONS
@@ -271,10 +276,10 @@
             start_thread("replay-dial", flow.dial)
         return flow
 
-    # --- what comes ---
+    # --- events from the flows ---
 
     def received(self, message: Message) -> None:
-        """From readers' threads."""
+        """Called in the reader threads."""
         self.loop.post(lambda: self._dispatch(message))
 
     def _dispatch(self, message: Message) -> None:
@@ -306,7 +311,7 @@
         result = player.result
         if result.outcome is Outcome.STOOD:
             self.admission.call_ended()
-        # a late retransmission may still want its ACK: known for as long as a transaction lasts
+        # kept for a while, since a retransmitted final answer may still need its ACK
         self.loop.at(self.loop.now() + min(self.timing.b, 2000.0), lambda: self._forget(player))
         self._record_result(result)
 
@@ -342,7 +347,7 @@
         if self.next_index >= len(self.plan) and not self.pending:
             self.finished.set()
 
-    # --- progress ---
+    # --- saved progress ---
 
     def _resume(self, path: Path) -> None:
         state = progress.load(path, self.fingerprint)
@@ -351,7 +356,7 @@
             self.outcomes = dict(state.done)
             self.report.left_in_flight = progress.in_flight(state)
             if state.started < len(self.plan):
-                # at once where the old run stopped: the first call that it had not written down
+                # continue without a pause at the first call that the interrupted run had not recorded
                 self.start_offset_ms = self.plan[state.started].at_ms
         self.reserved_count = self.next_index
 
@@ -361,7 +366,7 @@
             time.sleep(seconds_until(now_ms() + SAVE_INTERVAL_MS))
 
     def _save(self, path: Path) -> None:
-        """Writes down the calls that are due soon, and only then lets them go out."""
+        """Records the calls that are due soon in the state file, and only then allows them to be sent."""
         at = now_ms() - self.start_ms + self.start_offset_ms
         reserved_end = self.reserved_count
         while reserved_end < len(self.plan) and self.plan[reserved_end].at_ms <= at + SAVE_AHEAD_MS:
@@ -373,5 +378,5 @@
         try:
             progress.save(path, state)
         except OSError:
-            return  # a full disk: nothing more goes out until there is room
+            return  # for example a full disk: no further call is sent until a save succeeds
         self.reserved_count = max(self.reserved_count, reserved_end)
--- a/landingdeal/capture/results.py
+++ b/landingdeal/capture/results.py
@@ -1,4 +1,4 @@
-"""A replay against its capture: call by call, by class, and how late its sends were. Pure."""
+"""Compares a replay with its capture per call and per class, and shows how late its set-ups were. Pure."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from landingdeal.capture.player import ReplayResult
 from landingdeal.capture.replay import ReplayReport
 
-LATE_THRESHOLD_MS = 1.0  # a send so much after its plan is told
-MAX_HISTOGRAM_US = 3_600_000_000
+LATE_THRESHOLD_MS = 1.0  # set-ups sent later than this are counted
+MAX_HISTOGRAM_US = 3_600_000_000  # an hour; longer times are recorded as this
 
 
 def quantile(values: Sequence[float], fraction: float) -> float:
-    """The nearest rank; nan of nothing."""
+    """The quantile by nearest rank; nan if there are no values."""
     if not values:
         return float("nan")
     ordered = sorted(values)
@@ -23,7 +23,7 @@
 
 
 def _histogram(values_ms: Sequence[float]) -> dict[str, float]:
-    """HDR histogram of the spans that happened: three digits, from a microsecond to an hour."""
+    """Percentiles by an HDR histogram (three digits, a microsecond to an hour). Negative times are unset."""
     from hdrh.histogram import HdrHistogram
 
     histogram, values_ms = HdrHistogram(1, MAX_HISTOGRAM_US, 3), [value for value in values_ms if value >= 0]
@@ -39,7 +39,7 @@
 
 
 def last_tries(report: ReplayReport) -> list[ReplayResult]:
-    """One result a call: that of its last try."""
+    """One result per call: that of its last try, in the order of the plan."""
     latest: dict[int, ReplayResult] = {}
     for result in report.results:
         previous = latest.get(result.planned.index)
@@ -49,12 +49,13 @@
 
 
 def matches_recording(result: ReplayResult) -> bool:
-    """Whether the replay came to what the capture holds."""
+    """Whether the call had the same outcome and status as in the capture."""
     call = result.planned
     return (result.outcome, result.status) == (call.recorded_outcome, call.recorded_status)
 
 
 def rows(report: ReplayReport) -> Iterator[dict[str, Any]]:
+    """One row per call: recorded and replayed outcome."""
     for result in last_tries(report):
         call = result.planned
         yield {
@@ -69,6 +70,7 @@
 
 
 def summary(report: ReplayReport) -> dict[str, Any]:
+    """Totals, send delays and answer times per class."""
     results = last_tries(report)
     late = [result.late_ms for result in report.results if not result.error.startswith("shed")]
     by_class: dict[str, list[ReplayResult]] = defaultdict(list)
--- a/landingdeal/capture/retries.py
+++ b/landingdeal/capture/retries.py
@@ -1,7 +1,7 @@
-"""Whether a refused call of a replay is tried again, and when. Decisions only; clock and dice are given.
+"""Decides whether and when a refused call of a replay is retried. Pure: the random generator is passed in.
 
-A replay must not become a retry storm that the capture never had: all tries again together stay under a
-stated part of the first tries, and each call has its bound.
+A replay must not cause a retry storm that the capture did not have: the number of all retries stays under a
+configured share of the first tries, and the retries of each call are limited.
 """
 
 from __future__ import annotations
@@ -12,43 +12,45 @@
 
 
 class RetryPolicy(StrEnum):
-    RECORDED = "recorded"  # tries again are calls of the capture and are offered as they were
-    MODEL = "model"  # they are left out, and refused calls are tried again by the model below
-    NONE = "none"  # they are left out, and nothing is tried again
+    """How a replay treats retries."""
 
+    RECORDED = "recorded"  # recorded retries are offered as recorded, no others are made
+    MODEL = "model"  # recorded retries are left out; refused calls are retried according to RetryModel
+    NONE = "none"  # recorded retries are left out and none are made
 
-RETRYABLE = frozenset((408, 480, 486, 500, 503, 504))  # refusals after which a caller may try again
+
+RETRYABLE = frozenset((408, 480, 486, 500, 503, 504))  # final answers after which a caller may retry
 
 
 @dataclass(frozen=True, slots=True)
 class RetryModel:
-    """What callers do after a refusal. Times in milliseconds."""
+    """How callers retry after a refusal."""
 
-    max_retries: int = 3  # tries again of one call
-    min_delay_ms: float = 300.0  # nothing goes out again sooner, whatever was told
-    initial_delay_ms: float = 1000.0  # where the refusal told no time to stay away; doubles with each try
+    max_retries: int = 3  # of one call
+    min_delay_ms: float = 300.0  # even if the refusal asked for a shorter wait
+    initial_delay_ms: float = 1000.0  # if the refusal gave no Retry-After time; doubles with each try
     max_delay_ms: float = 30_000.0
-    jitter: float = 0.25  # part of the pause, added at random: callers do not come back in step
-    budget: float = 0.5  # tries again, all calls together, for each first try so far
+    jitter: float = 0.25  # random share added to the delay, so that callers don't retry in step
+    budget: float = 0.5  # retries of all calls together, per first try so far
 
 
 class RetryScheduler:
-    """Counts first tries and tries again; `again` answers for one refused call."""
+    """Applies the retry policy to each call and keeps the retry budget."""
 
     def __init__(self, policy: RetryPolicy, model: RetryModel, rng: random.Random) -> None:
         self.policy, self.model, self.rng = policy, model, rng
         self.first_tries = self.granted = self.denied = 0
 
     def count_first_try(self) -> None:
-        """A first try has gone out."""
+        """Adds one first try to the base of the retry budget."""
         self.first_tries += 1
 
     def skips(self, is_retry: bool) -> bool:
-        """Whether a recorded call is not offered, being a try again."""
+        """Whether a recorded call is left out because it is a retry."""
         return is_retry and self.policy is not RetryPolicy.RECORDED
 
     def retry_delay_ms(self, status: int, try_number: int, retry_after_ms: float) -> float | None:
-        """The pause before the next try; None where there is none. `tries` made so far count the first."""
+        """The delay before the next try, or None for no retry. `try_number` counts from 1."""
         if self.policy is not RetryPolicy.MODEL or status not in RETRYABLE:
             return None
         if try_number > self.model.max_retries or self.granted + 1 > self.model.budget * self.first_tries:
--- a/landingdeal/capture/rewrite.py
+++ b/landingdeal/capture/rewrite.py
@@ -1,7 +1,7 @@
-"""Messages of captures written anew: some calls alone, files merged, or names and numbers replaced. Pure.
+"""Writes messages of captures to a new capture: filtered, merged, or with names and numbers replaced. Pure.
 
-What is written is one correct conversation made from the messages, not the packets as they lay: fragments and
-segments are whole, lengths and checksums right.
+The packets are generated from the messages, not copied: there are no fragments, TCP segments are in order,
+and lengths and checksums are correct.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def encode_capture(messages: Iterable[Seen], file_format: CaptureFile) -> Iterator[bytes]:
-    """A capture file of these messages, in pieces."""
+    """The bytes of a capture file with these messages, in chunks."""
     yield file_format.head()
     conversations, last_ns = Conversations(), 0
     for seen in messages:
@@ -52,10 +52,10 @@
 
 
 class Scrubber:
-    """Replaces names, numbers and addresses, the same by the same; another key gives other ones.
+    """Replaces names, numbers and addresses. The same input and key give the same replacement.
 
-    Digits stay digits and the first one stays as it is, so that routes by prefix still lead the same way.
-    Classes (Subject) and times stay.
+    Digits are replaced by digits, except the first one, so that routes by prefix still apply.
+    Classes (Subject) and times are kept.
     """
 
     def __init__(self, key: str) -> None:
@@ -70,7 +70,7 @@
     def _replacement(self, category: str, text: str, build: Callable[[int], str]) -> str:
         found = self.replacements.get((category, text))
         if found is None:
-            if len(self.replacements) > 1_000_000:  # it is made again when it comes again
+            if len(self.replacements) > 1_000_000:  # the replacements are computed again when needed
                 self.replacements.clear()
             found = self.replacements[category, text] = build(self._hash(category, text))
         return found
@@ -93,14 +93,14 @@
         return self.scrub_host(address[0]), address[1]
 
     def scrub_value(self, text: str) -> str:
-        """A header's value, or a URI."""
+        """Replaces users, hosts and display names in a header value or a URI."""
         text = _DISPLAY.sub(lambda m: f'"{self._replacement("display", m[0].strip(), _short_name)}" ', text)
         text = _URI_USER.sub(lambda m: (m[1] or m[3]) + self.scrub_user(m[2] or m[4]), text)
         text = _HOST.sub(lambda m: self.scrub_host(m[0]), text)
         return _V6.sub(lambda m: f"[{self.scrub_host(m[0][1:-1])}]", text)
 
     def scrub_body(self, category: str, data: bytes) -> bytes:
-        """Of SDP the names and addresses; anything else becomes as many x."""
+        """Replaces names and addresses in SDP; overwrites any other body with as many x."""
         if not category.lower().startswith("application/sdp"):
             return b"x" * len(data)
         lines = []
--- a/landingdeal/capture/settings.py
+++ b/landingdeal/capture/settings.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CaptureSettings:
-    """`read`: files played as callers, none of them to play nothing; `write` None: nothing is written."""
+    """`read`: captures that are played as callers. `write`: the file that calls are recorded to, or None."""
 
     read: tuple[str, ...] = ()
     write: Path | None = None
@@ -32,16 +32,16 @@
 
 
 def parse_capture_settings(raw: dict[str, Any]) -> CaptureSettings:
-    """Raises ConfigError that names section, key and reason."""
+    """Raises ConfigError with the section, key and reason."""
     try:
         section = msgspec.convert(raw, _CaptureSection)
     except msgspec.ValidationError as error:
         raise ConfigError(f"sip.capture: {error}") from None
     for key in ("file_mb", "file_minutes", "total_mb"):
         if not 0 <= getattr(section, key) < 1e9:
-            raise ConfigError(f"sip.capture.{key} is from 0 (no bound) to 1e9")
+            raise ConfigError(f"sip.capture.{key} must be from 0 (no limit) to 1e9")
     if 0 < section.total_mb < section.file_mb or section.file_mb == 0 < section.total_mb:
-        raise ConfigError("sip.capture.total_mb is less than one file may hold")
+        raise ConfigError("sip.capture.total_mb must not be less than file_mb")
     read = (section.read,) if isinstance(section.read, str) else tuple(section.read)
     bounds = Bounds(
         round(section.file_mb * 2**20), section.file_minutes * 60_000, round(section.total_mb * 2**20)
--- a/landingdeal/capture/views.py
+++ b/landingdeal/capture/views.py
@@ -1,4 +1,4 @@
-"""Calls as rows, as a table and as a ladder. Pure: records in, text out."""
+"""Shows calls as rows, as a table and as a ladder diagram. Pure."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 
 
 def format_address(address: Address) -> str:
+    """HOST:PORT, with brackets around an IPv6 address."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def as_row(call: CallRecord) -> dict[str, Any]:
-    """Times in milliseconds; -1 where nothing of the kind passed."""
+    """The call as a row with the keys `COLUMNS`. Times are -1 if the capture has no such event."""
     return {
         "number": call.number, "call_id": call.call_id, "caller": call.caller, "called": call.called,
         "class": call.class_name, "transport": call.transport, "source": format_address(call.source),
@@ -36,6 +37,7 @@
 
 
 def call_table(calls: Iterable[CallRecord]) -> Iterator[str]:
+    """The lines of a table for the terminal, a head line first."""
     yield (f"{'call':>6} {'at (UTC)':12}  {'caller':24} {'called':12} {'class':14} {'outcome':11} "
            f"{'status':>6} {'answer ms':>9} {'hold ms':>9}  notes")  # fmt: skip
     for call in calls:
@@ -56,11 +58,11 @@
                f"{answer:>9} {hold:>9}  {', '.join(notes)}".rstrip())  # fmt: skip
 
 
-COLUMN_WIDTH = 34  # between the lines of two parties
+COLUMN_WIDTH = 34  # between the vertical lines of two parties
 
 
 def ladder_lines(call: CallRecord) -> Iterator[str]:
-    """The messages of a call between the parties' lines, in order of time, as RFC 3665 draws them."""
+    """The lines of a ladder diagram of the call's messages in order of time, drawn as in RFC 3665."""
     parties: list[Address] = []
     for step in call.steps:
         for endpoint in (step.source, step.target):
