--- a/landingdeal/net/config.py
+++ b/landingdeal/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands over, as typed values; anything unusable is one plain line."""
+"""The platform's configuration as typed values; an unusable one raises ConfigError of one line."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from badgerstile.wire import WireError, read_settings
 from landingdeal.errors import ConfigError, address
 
-HEALTH = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.REMOVED}
+HEALTH_BY_STATUS = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.REMOVED}
 
 
 @dataclass(frozen=True, slots=True)
 class HubAddress:
-    """One lab hub of an event, for the client side. `where` is host:port, empty where one is gone."""
+    """Address of one lab hub of an event; `host_port` may be empty if the lab hub was removed."""
 
     name: bytes
-    where: str
+    host_port: str
     health: Health
 
 
 @dataclass(frozen=True, slots=True)
 class TopologyEvent:
-    """One event of the event bus: the change for the core, and the addresses for the client side."""
+    """One event of the event bus: the change for the core and the addresses for `HubConnections`."""
 
     offset: int
     change: ExchangeList
@@ -33,6 +33,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The platform's configuration of this process."""
+
     name: str
     host: str
     port: int
@@ -42,24 +44,28 @@
     offset: int
     known: tuple[TopologyEvent, ...]
     settings: Settings
-    dial_ms: float
+    dial_timeout_ms: float
 
 
-def topology_event(raw: Any) -> TopologyEvent:
-    """Raises ConfigError on an event that is not of the event bus."""
+def parse_topology_event(raw: Any) -> TopologyEvent:
+    """Parses one event of the event bus; raises ConfigError if it can't be used."""
     try:
         topology = raw["topology"]
         entries, addresses = [], []
-        for row in topology["endpoints"]:
-            name, health = str(row["name"]).encode(), HEALTH[row["status"]]
-            came_up = float(row.get("since_ms") or 0.0)
-            where = str(row.get("address") or "")
-            if where:
-                address(where, "an endpoint")
+        for endpoint in topology["endpoints"]:
+            name, health = str(endpoint["name"]).encode(), HEALTH_BY_STATUS[endpoint["status"]]
+            up_since_ms = float(endpoint.get("since_ms") or 0.0)
+            host_port = str(endpoint.get("address") or "")
+            if host_port:
+                address(host_port, "an endpoint")
             elif health is not Health.REMOVED:
-                raise ConfigError(f"no address for {row['name']}")
-            entries.append(ExchangeEntry(name, int(row["group"]) if "group" in row else -1, health, came_up))
-            addresses.append(HubAddress(name, where, health))
+                raise ConfigError(f"no address for {endpoint['name']}")
+            entries.append(
+                ExchangeEntry(
+                    name, int(endpoint["group"]) if "group" in endpoint else -1, health, up_since_ms
+                )
+            )
+            addresses.append(HubAddress(name, host_port, health))
         kind = ListKind.FULL if topology.get("snapshot") else ListKind.CHANGES
         return TopologyEvent(int(raw["offset"]), ExchangeList(kind, tuple(entries)), tuple(addresses))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -69,6 +75,7 @@
 
 
 def read_config(text: str) -> Config:
+    """Parses the configuration; raises ConfigError if it can't be used."""
     try:
         raw = json.loads(text)
     except ValueError as error:
@@ -86,9 +93,9 @@
             sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
             bus=address(raw["bus"], "bus"),
             offset=int(known["offset"]),
-            known=tuple(topology_event(event) for event in known["batch"]),
+            known=tuple(parse_topology_event(event) for event in known["batch"]),
             settings=read_settings(json.dumps(raw["settings"]).encode()),
-            dial_ms=float((raw["settings"].get("caps") or {}).get("dial_timeout_ms") or 500.0),
+            dial_timeout_ms=float((raw["settings"].get("caps") or {}).get("dial_timeout_ms") or 500.0),
         )
     except WireError as error:
         raise ConfigError(str(error)) from None
