--- a/landingdeal/commands/__init__.py
+++ b/landingdeal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `landingdeal COMMAND`. Exit codes: 0 well, 1 problems were found, 2 it can't run."""
+"""The command line: `landingdeal COMMAND`. Exit codes: 0 success, 1 problems found, 2 could not run."""
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -1,4 +1,4 @@
-"""`landingdeal capture`: what is in captures, and what is wrong with them."""
+"""`landingdeal capture check|info|calls|replay|ladder`: inspects and replays captures."""
 
 from __future__ import annotations
 
@@ -25,16 +25,17 @@
 FILES_ARGUMENT = click.argument("files", nargs=-1, required=True)
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
 STRICT_CHECKSUMS_OPTION = click.option(
-    "--strict-checksums", is_flag=True, help="Drop packets whose checksum is wrong."
+    "--strict-checksums", is_flag=True, help="Drop packets with a wrong checksum."
 )
 
 
 @click.group()
 def capture() -> None:
-    """Read, check and look into captures: pcap and pcapng, plain, gzip or zstd; `-` is standard input."""
+    """Inspect, replay and edit captures: pcap or pcapng, plain, gzip or zstd; `-` for standard input."""
 
 
 def read_calls(files: tuple[str, ...], reading: Reading, strict: bool) -> Iterator[CallRecord]:
+    """The calls of the files. Counts and problems go to `reading`."""
     calls = Calls()
     for seen in read(files, reading, strict):
         yield from calls.feed(seen)
@@ -42,7 +43,7 @@
 
 
 def check_report(reading: Reading, calls: int) -> dict[str, Any]:
-    """What `check --json` prints."""
+    """The JSON object that `check --json` prints."""
     problems = [
         {"kind": p.kind.value, "offset": p.offset, "packet": p.packet, "detail": p.detail, "file": p.file}
         for p in reading.problems.kept
@@ -56,7 +57,7 @@
 
 
 def exit_code(reading: Reading) -> int:
-    """2 where nothing could be read since a file is no capture; 1 with other problems."""
+    """2 if nothing was read and a file is not a capture; 1 for other problems; otherwise 0."""
     if reading.problems.counts[Kind.NOT_A_CAPTURE] and not reading.counts["packets"]:
         return EXIT_CANNOT_RUN
     return 0 if reading.complete else EXIT_PROBLEMS
@@ -68,7 +69,7 @@
 @JSON_OPTION
 @click.pass_context
 def check(ctx: click.Context, files: tuple[str, ...], strict_checksums: bool, as_json: bool) -> None:
-    """Say everything that is wrong with captures. Exit code 1 where anything is."""
+    """List all problems of captures. Exit code 1 if there are any."""
     reading = Reading()
     calls = sum(1 for _ in read_calls(files, reading, strict_checksums))
     if as_json:
@@ -91,7 +92,7 @@
 @JSON_OPTION
 @click.pass_context
 def info(ctx: click.Context, files: tuple[str, ...], as_json: bool) -> None:
-    """Say what captures hold: span of time, packets, calls by outcome and class."""
+    """Summarize captures: time span, packets, calls by outcome and class."""
     reading = Reading()
     outcomes: Counter[str] = Counter()
     classes: Counter[str] = Counter()
@@ -123,15 +124,15 @@
 
 @capture.command()
 @FILES_ARGUMENT
-@click.option("--csv", "as_csv", is_flag=True, help="Comma-separated values with a head line.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line, for machines.")
+@click.option("--csv", "as_csv", is_flag=True, help="Comma-separated values with a header line.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object per line, for machines.")
 @click.pass_context
 def calls(ctx: click.Context, files: tuple[str, ...], as_csv: bool, as_json: bool) -> None:
-    """List the calls, one a line."""
+    """List the calls, one per line."""
     reading = Reading()
     records = read_calls(files, reading, False)
     if as_json:
-        for call in records:  # one object a line: memory does not grow with the file
+        for call in records:  # one object per line, so that memory does not grow with the file
             click.echo(json.dumps(as_row(call)))
     elif as_csv:
         writer = csv.DictWriter(sys.stdout, COLUMNS)
@@ -146,16 +147,31 @@
 
 @capture.command()
 @FILES_ARGUMENT
-@click.option("--to", required=True, metavar="ADDRESS:PORT", help="Where the calls are offered.")
-@click.option("--transport", type=click.Choice(["udp", "tcp"]), help="Instead of the recorded one.")
+@click.option(
+    "--to", required=True, metavar="ADDRESS:PORT", help="The address to which the calls are offered."
+)
+@click.option(
+    "--transport", type=click.Choice(["udp", "tcp"]), help="Transport to use instead of the recorded one."
+)
 @click.option("--speed", type=click.FloatRange(0.001, 1000), default=1.0, show_default=True)
 @click.option(
-    "--scale", type=click.IntRange(1, 1000), default=1, show_default=True, help="Callers for each one."
+    "--scale",
+    type=click.IntRange(1, 1000),
+    default=1,
+    show_default=True,
+    help="Calls offered for each recorded call.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--from", "from_s", type=float, default=0.0, help="Seconds after the first call.")
-@click.option("--until", "until_s", type=float, help="Seconds after the first call.")
-@click.option("--filter", "where", default="", help="Only these calls, as: class == voice and status >= 500")
+@click.option(
+    "--from", "from_s", type=float, default=0.0, help="Skip calls before this many seconds after the first."
+)
+@click.option("--until", "until_s", type=float, help="Skip calls from this many seconds after the first.")
+@click.option(
+    "--filter",
+    "where",
+    default="",
+    help="Offer only matching calls, for example: class == voice and status >= 500",
+)
 @click.option(
     "--retries", type=click.Choice([p.value for p in RetryPolicy]), default="recorded", show_default=True
 )
@@ -165,15 +181,20 @@
     "--t1-ms", type=click.FloatRange(1, 10_000), default=500.0, show_default=True, help="RFC 3261 T1."
 )
 @click.option(
-    "--state", type=click.Path(dir_okay=False, path_type=Path), help="Progress; goes on from there."
+    "--state",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="File to save progress in and to resume from.",
 )
-@click.option("--calls", "each", is_flag=True, help="Also one line a call.")
+@click.option("--calls", "each", is_flag=True, help="Also print one line per call.")
 @JSON_OPTION
 @click.pass_context
 def replay(
     ctx: click.Context, /, files: tuple[str, ...], to: str, transport: str | None, **given: Any
 ) -> None:
-    """Offer the calls of captures to an address, open loop. Exit code 1 where a call had no answer."""
+    """Offer the calls of captures to an address as open-loop load.
+
+    Exit code 1 if a call had an error or several final answers.
+    """
     from landingdeal.capture.limits import ReplayLimits
     from landingdeal.capture.plan import ReplayOptions, SkippedCalls, plan
     from landingdeal.capture.replay import Replay
@@ -214,7 +235,7 @@
 def select_calls(
     files: tuple[str, ...], reading: Reading, filter_text: str, from_s: float, until_s: float | None
 ) -> Iterator[CallRecord]:
-    """The calls of a span of time and of a filter."""
+    """The calls in a time span that match a filter."""
     from landingdeal.capture.language import parse_filter
 
     predicate, first_ns = parse_filter(filter_text), -1
@@ -230,7 +251,7 @@
 @FILES_ARGUMENT
 @click.pass_context
 def ladder(ctx: click.Context, call: str, files: tuple[str, ...]) -> None:
-    """Draw the ladder of one CALL, named by its number or its Call-ID."""
+    """Draw the ladder diagram of one CALL, given by its number or Call-ID."""
     reading = Reading()
     for record in read_calls(files, reading, False):
         if call in (record.call_id, str(record.number)):
--- a/landingdeal/commands/capture_files.py
+++ b/landingdeal/commands/capture_files.py
@@ -1,4 +1,4 @@
-"""`landingdeal capture filter|merge|scrub|repair|compare`: captures made from captures."""
+"""`landingdeal capture filter|merge|scrub|repair|compare`: edits and compares captures."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
 
 
 def file_format_of(path: Path) -> CaptureFile:
+    """pcapng if the file name contains `.pcapng`, else pcap."""
     return PcapngFile() if ".pcapng" in path.name else PcapFile()
 
 
 def write_capture(out: Path, messages: Iterable[Seen]) -> None:
-    """Written beside and renamed: a command that is stopped leaves no half of a file."""
+    """Writes to a temporary file and renames it, so that an interrupted command leaves no partial file."""
     from landingdeal.capture.rewrite import encode_capture
 
     part_path = out.with_name(out.name + ".part")
@@ -43,10 +44,10 @@
 @capture.command("filter")
 @FILE_ARGUMENT
 @OUT_ARGUMENT
-@click.option("--where", required=True, help="As: class == voice and status >= 500")
+@click.option("--where", required=True, help="The filter, for example: class == voice and status >= 500")
 @click.pass_context
 def filter_(ctx: click.Context, file: Path, out: Path, where: str) -> None:
-    """Write the calls that a filter lets through to another capture."""
+    """Write the calls that match a filter to another capture."""
     from landingdeal.capture.language import parse_filter
 
     predicate, reading = parse_filter(where), Reading()
@@ -71,7 +72,7 @@
 @OUT_ARGUMENT
 @click.pass_context
 def merge(ctx: click.Context, files: tuple[str, ...], out: Path) -> None:
-    """Write the messages of several captures, in order of time, to one."""
+    """Merge the messages of several captures, in order of time, into one."""
     reading = Reading()
     write_capture(out, read(files, reading))
     click.echo(f"{reading.counts['messages']} messages of {len(files)} captures to {out}")
@@ -81,10 +82,12 @@
 @capture.command()
 @FILE_ARGUMENT
 @OUT_ARGUMENT
-@click.option("--key", envvar="LANDINGDEAL_SCRUB_KEY", required=True, help="The same key, the same names.")
+@click.option(
+    "--key", envvar="LANDINGDEAL_SCRUB_KEY", required=True, help="The same key gives the same replacements."
+)
 @click.pass_context
 def scrub(ctx: click.Context, file: Path, out: Path, key: str) -> None:
-    """Replace names, numbers and addresses, consistently; what is not SIP is left out."""
+    """Replace names, numbers and addresses consistently; packets that are not SIP are left out."""
     from landingdeal.capture.rewrite import Scrubber
 
     scrubber, reading = Scrubber(key), Reading()
@@ -97,7 +100,7 @@
 @FILE_ARGUMENT
 @OUT_ARGUMENT
 def repair(file: Path, out: Path) -> None:
-    """Cut a damaged tail off: all that is whole is kept."""
+    """Remove a damaged tail: all complete packets are kept."""
     from landingdeal.capture.formats import NotCapture
     from landingdeal.capture.repair import repair as repair_file
 
@@ -115,7 +118,7 @@
 @JSON_OPTION
 @click.pass_context
 def compare(ctx: click.Context, a: Path, b: Path, as_json: bool) -> None:
-    """Compare two captures call by call. Exit code 1 where calls are missing or ended otherwise."""
+    """Compare two captures call by call. Exit code 1 if calls are missing or ended differently."""
     from landingdeal.capture.compare import compare as compare_calls
     from landingdeal.capture.compare import time_shifts_ms
     from landingdeal.capture.results import quantile
--- a/landingdeal/commands/config.py
+++ b/landingdeal/commands/config.py
@@ -12,7 +12,7 @@
 
 
 def file_problem(path: Path) -> str:
-    """What is wrong with a file; empty if it can be used. JSON is the platform's, all else the operator's."""
+    """Why a file can't be used, else empty. JSON is a platform configuration, TOML an operator's file."""
     text = path.read_text(encoding="utf-8")
     try:
         if text.lstrip().startswith("{"):
@@ -38,7 +38,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
 @click.pass_context
 def check(ctx: click.Context, files: tuple[Path, ...], as_json: bool) -> None:
-    """Check operator's files (TOML) and platform configurations (JSON); code 1 where one can't be used."""
+    """Check operator's files (TOML) and platform configurations (JSON). Exit code 1 if one can't be used."""
     problems = {str(path): file_problem(path) for path in files}
     if as_json:
         click.echo(
--- a/landingdeal/commands/demo.py
+++ b/landingdeal/commands/demo.py
@@ -16,7 +16,10 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
 @click.pass_context
 def demo(ctx: click.Context, calls: int, per_s: float, seed: int, as_json: bool) -> None:
-    """Start the SIP front and two stand-in hubs, offer a small capture. Code 0: each call got one answer."""
+    """Start the SIP front and two simulated hubs and replay a small capture.
+
+    Exit code 0 if each call got exactly one final answer.
+    """
     from landingdeal.lab.demo import demonstrate
 
     demonstration = demonstrate(calls, per_s, seed)
--- a/landingdeal/commands/main.py
+++ b/landingdeal/commands/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands; each module is imported only when its command is asked for."""
+"""The command group. The module of a command is imported only when the command is used."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from landingdeal.errors import ConfigError
 
 EXIT_PROBLEMS, EXIT_CANNOT_RUN = 1, 2
-LAZY_COMMANDS = {
+LAZY_COMMANDS = {  # name: module, attribute, help text
     "serve": ("landingdeal.commands.serve", "serve", "Start the program, as without a command."),
-    "demo": ("landingdeal.commands.demo", "demo", "Show the program at work, with stand-ins."),
+    "demo": ("landingdeal.commands.demo", "demo", "Run the program with simulated hubs and callers."),
     "config": ("landingdeal.commands.config", "config", "Check configuration files."),
-    "capture": ("landingdeal.commands.capture_files", "capture", "Read, check and look into captures."),
+    "capture": ("landingdeal.commands.capture_files", "capture", "Inspect, check, replay and edit captures."),
 }
 
 
 class LazyGroup(click.Group):
-    """Knows its commands by name, and what they are by module."""
+    """A command group that imports its commands on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted(LAZY_COMMANDS)
@@ -44,7 +44,7 @@
 @click.option("--operator", envvar="LANDINGDEAL_OPERATOR", default="", help="The operator's file (TOML).")
 @click.pass_context
 def group(ctx: click.Context, operator: str) -> None:
-    """A border controller between callers and lab hubs. Without a command it starts, as `serve` does."""
+    """A border controller between callers and lab hubs. Without a command it runs `serve`."""
     if ctx.invoked_subcommand is None:
         from landingdeal.__main__ import serve
 
@@ -52,7 +52,7 @@
 
 
 def run(arguments: list[str]) -> int:
-    """The exit code; whatever can't be done is one line on standard error."""
+    """Runs a command line and returns the exit code. An error is one line on standard error."""
     try:
         result: Any = group.main(args=arguments, prog_name="landingdeal", standalone_mode=False)
         return int(result or 0)
@@ -64,14 +64,14 @@
         print(f"landingdeal: {error.format_message()}{hint}", file=sys.stderr)
         return EXIT_CANNOT_RUN
     except click.Abort:
-        print("landingdeal: stopped", file=sys.stderr)
+        print("landingdeal: interrupted", file=sys.stderr)
         return EXIT_CANNOT_RUN
-    except BrokenPipeError:  # whoever read our output has enough
+    except BrokenPipeError:  # the reader of our output closed the pipe
         sys.stdout = None
         return 0
     except (ConfigError, OSError, UnicodeDecodeError) as error:
         print(f"landingdeal: {error}", file=sys.stderr)
         return EXIT_CANNOT_RUN
     except ModuleNotFoundError as error:
-        print(f"landingdeal: this needs {error.name}: pip install 'landingdeal[tools]'", file=sys.stderr)
+        print(f"landingdeal: missing package {error.name}: pip install 'landingdeal[tools]'", file=sys.stderr)
         return EXIT_CANNOT_RUN
--- a/landingdeal/commands/serve.py
+++ b/landingdeal/commands/serve.py
@@ -11,5 +11,5 @@
 @click.option("--operator", envvar="LANDINGDEAL_OPERATOR", default="", help="The operator's file (TOML).")
 @click.pass_context
 def serve(ctx: click.Context, operator: str) -> None:
-    """Start the program: on the platform where ROUTER_CONFIG is set, else the SIP front."""
+    """Start the program: on the platform if ROUTER_CONFIG is set, otherwise the SIP front."""
     ctx.exit(start(operator))
