--- a/landingdeal/capture/player.py
+++ b/landingdeal/capture/player.py
@@ -66,7 +66,7 @@
         self.call_id, self.tag = identity(planned, try_number, seed)
         self.on_finished, self.on_answered = on_finished, on_answered
         self.result = ReplayResult(planned, try_number, 0.0)
-        self.invite_transaction: ClientTransaction | None = None  # of the INVITE
+        self.invite_transaction: ClientTransaction | None = None
         self.cancel_transaction: ClientTransaction | None = None
         self.bye_transaction: ClientTransaction | None = None
         self.dialog: Dialog | None = None
@@ -240,9 +240,7 @@
             case "OPTIONS" | "INFO" | "NOTIFY" if self.dialog is not None:
                 transaction.respond(response(message, 200))
             case "INVITE" | "UPDATE" if self.dialog is not None:
-                transaction.respond(
-                    response(message, 488)
-                )  # a re-INVITE is not acceptable: the capture has no second session description
+                transaction.respond(response(message, 488))  # the capture has no second session description
             case _:
                 transaction.respond(response(message, 481))
 
--- a/landingdeal/capture/replay.py
+++ b/landingdeal/capture/replay.py
@@ -165,7 +165,7 @@
         self.retries = RetryScheduler(options.retries, model, random.Random(options.seed))
         self.report = ReplayReport()
         self.players: dict[str, CallPlayer] = {}  # by Call-ID
-        self.outcomes: dict[int, str] = {}
+        self.outcomes: dict[int, str] = {}  # of the finished calls, by index in the plan
         self.next_index = 0
         self.pending = 0  # tries in progress or scheduled
         self.finished = threading.Event()
@@ -367,14 +367,14 @@
 
     def _save(self, path: Path) -> None:
         """Records the calls that are due soon in the state file, and only then allows them to be sent."""
-        at = now_ms() - self.start_ms + self.start_offset_ms
+        plan_time_ms = now_ms() - self.start_ms + self.start_offset_ms
         reserved_end = self.reserved_count
-        while reserved_end < len(self.plan) and self.plan[reserved_end].at_ms <= at + SAVE_AHEAD_MS:
+        while reserved_end < len(self.plan) and self.plan[reserved_end].at_ms <= plan_time_ms + SAVE_AHEAD_MS:
             reserved_end += 1
         if self.finished.is_set():
             reserved_end = max(self.next_index, 0)
         outcomes = dict(list(self.outcomes.items()))
-        state = progress.ReplayState(progress.VERSION, self.fingerprint, at, reserved_end, outcomes)
+        state = progress.ReplayState(progress.VERSION, self.fingerprint, plan_time_ms, reserved_end, outcomes)
         try:
             progress.save(path, state)
         except OSError:
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -1,4 +1,4 @@
-"""Captures offered as load: plan, limits, retries, progress, and the calls as a stand-in sees them."""
+"""Tests of the replay of captures: filters, plan, limits, retries, state file, and the calls that arrive."""
 
 from __future__ import annotations
 
@@ -36,34 +36,34 @@
 from landingdeal.lab.ports import free_port
 from tests.scenario import PATIENCE_S, ROOT
 
-QUICK = Traffic(calls=25, per_s=60.0, answer_ms=(5.0, 20.0), hold_ms=(50.0, 120.0), withdrawn=0.0)
+SHORT_CALLS = Traffic(calls=25, per_s=60.0, answer_ms=(5.0, 20.0), hold_ms=(50.0, 120.0), withdrawn=0.0)
 
 
-def calls_of(path: Path, shape: Traffic = QUICK, seed: int = 1) -> list[CallRecord]:
-    path.write_bytes(capture_file(packets(traffic(shape, seed)), PcapFile()))
-    calls = Calls()
-    found = [call for seen in read([str(path)], Reading()) for call in calls.feed(seen)]
-    return [*found, *calls.end()]
+def read_generated_calls(path: Path, traffic_shape: Traffic = SHORT_CALLS, seed: int = 1) -> list[CallRecord]:
+    path.write_bytes(capture_file(packets(traffic(traffic_shape, seed)), PcapFile()))
+    call_table = Calls()
+    records = [call for seen in read([str(path)], Reading()) for call in call_table.feed(seen)]
+    return [*records, *call_table.end()]
 
 
 @pytest.fixture
 def calls(tmp_path: Path) -> list[CallRecord]:
-    return calls_of(tmp_path / "c.pcap")
+    return read_generated_calls(tmp_path / "c.pcap")
 
 
 @pytest.fixture
 def answerer(calls: list[CallRecord]) -> Iterator[Answerer]:
     refused = {call.called for call in calls if call.outcome is Outcome.REFUSED}
-    made = Answerer(Behaviour(refuse=lambda user: 503 if user in refused else 0, ring_ms=1.0))
-    yield made
-    made.end()
+    lab_hub = Answerer(Behaviour(refuse=lambda user: 503 if user in refused else 0, ring_ms=1.0))
+    yield lab_hub
+    lab_hub.end()
 
 
 # --- the filter language ---
 
 
 @pytest.mark.parametrize(
-    ("text", "count"),
+    ("text", "expected_count"),
     [
         ("", 25), ("status == 503", 4), ("not status == 503", 21), ("cut_off", 0),
         ('class == "test-report" or class == device-status', 25), ("called !~ ^1", None),
@@ -72,16 +72,18 @@
         ("outcome == stood and (status == 200)", 21),
     ],
 )  # fmt: skip
-def test_filters(text: str, count: int | None, calls: list[CallRecord]) -> None:
-    if count is None:
+def test_filter_selects_the_matching_calls(
+    text: str, expected_count: int | None, calls: list[CallRecord]
+) -> None:
+    if expected_count is None:
         with pytest.raises(FilterError, match="column"):
             parse_filter(text)
     else:
-        assert sum(map(parse_filter(text), calls)) == count
+        assert sum(map(parse_filter(text), calls)) == expected_count
 
 
 @pytest.mark.parametrize(
-    ("text", "column", "why"),
+    ("text", "column", "reason"),
     [
         ("clas == x", 1, "unknown field clas"), ("status == 5 and answer_ms ~ 3", 27, "is a number"),
         ('called ~ "("', 10, "invalid regular expression"), ("status ==", 10, "too early"),
@@ -90,35 +92,41 @@
         ("caller == 3", 11, "is compared with a text"), ("(status == 5", 13, "too early"),
     ],
 )  # fmt: skip
-def test_errors_of_a_filter_point_at_the_column(text: str, column: int, why: str) -> None:
+def test_filter_error_names_the_column(text: str, column: int, reason: str) -> None:
     with pytest.raises(FilterError, match=f"^filter, column {column}: ") as error:
         parse_filter(text)
-    assert why in str(error.value)
+    assert reason in str(error.value)
 
 
 # --- the plan ---
 
 
-def test_a_plan_keeps_arrivals_and_scales_with_identities_of_its_own(calls: list[CallRecord]) -> None:
-    left = SkippedCalls({})
-    made = plan(calls, ReplayOptions(speed=2.0, scale=3), left)
-    assert len(made) == 75 and [one.index for one in made] == list(range(75)) and not left.reasons
-    assert [one.at_ms for one in made] == sorted(one.at_ms for one in made)
+def test_plan_keeps_arrival_times_and_gives_copies_their_own_identities(calls: list[CallRecord]) -> None:
+    skipped = SkippedCalls({})
+    planned = plan(calls, ReplayOptions(speed=2.0, scale=3), skipped)
+    assert (
+        len(planned) == 75 and [entry.index for entry in planned] == list(range(75)) and not skipped.reasons
+    )
+    assert [entry.at_ms for entry in planned] == sorted(entry.at_ms for entry in planned)
     first = min(call.invite_ns for call in calls)
-    for one in made:
-        call = next(call for call in calls if call.number == one.number)
+    for entry in planned:
+        call = next(call for call in calls if call.number == entry.number)
         recorded = (call.invite_ns - first) / 1e6 / 2
-        assert one.at_ms == pytest.approx(recorded) if not one.copy_number else one.at_ms >= recorded
-    assert len({identity(one, 1, 1) for one in made}) == 75
-    assert plan(calls, ReplayOptions(speed=2.0, scale=3), left) == made, "the same seed, another plan"
-    assert fingerprint(made) != fingerprint(plan(calls, ReplayOptions(speed=2.0, scale=3, seed=2), left))
-
-
-def test_what_can_not_be_offered_is_counted(calls: list[CallRecord]) -> None:
-    left = SkippedCalls({})
+        assert entry.at_ms == pytest.approx(recorded) if not entry.copy_number else entry.at_ms >= recorded
+    assert len({identity(entry, 1, 1) for entry in planned}) == 75
+    assert (
+        plan(calls, ReplayOptions(speed=2.0, scale=3), skipped) == planned
+    ), "the same seed gave another plan"
+    assert fingerprint(planned) != fingerprint(
+        plan(calls, ReplayOptions(speed=2.0, scale=3, seed=2), skipped)
+    )
+
+
+def test_calls_left_out_of_the_plan_are_counted(calls: list[CallRecord]) -> None:
+    skipped = SkippedCalls({})
     changed = [replace(calls[0], begun_before=True), replace(calls[1], first_try=1), *calls[2:]]
-    assert len(plan(changed, ReplayOptions(retries=RetryPolicy.NONE), left)) == 23
-    assert left.reasons == {"begun before the capture": 1, "a try again": 1}
+    assert len(plan(changed, ReplayOptions(retries=RetryPolicy.NONE), skipped)) == 23
+    assert skipped.reasons == {"begun before the capture": 1, "a try again": 1}
     assert len(plan(changed, ReplayOptions(), SkippedCalls({}))) == 24
 
 
@@ -126,146 +134,154 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 50), st.booleans()), max_size=300))
-def test_admission_never_passes_its_bounds(steps: list[tuple[float, bool]]) -> None:
+def test_admission_stays_within_its_limits(steps: list[tuple[float, bool]]) -> None:
     limits = ReplayLimits(max_pending=5, max_established=3, max_per_s=100.0, burst=4.0)
-    admission, now, sent, open_ = AdmissionControl(limits), 0.0, list[float](), 0
-    for later, answers in steps:
-        now += later
-        if answers and open_:
-            open_ -= 1
+    admission, now_ms, sent_at_ms, expected_pending = AdmissionControl(limits), 0.0, list[float](), 0
+    for delay_ms, gets_answer in steps:
+        now_ms += delay_ms
+        if gets_answer and expected_pending:
+            expected_pending -= 1
             admission.answered(stands := admission.established < 3)
             if not stands and admission.established:
                 admission.call_ended()
-        elif not admission.shed_reason(now):
-            sent.append(now)
-            open_ += 1
-        assert admission.pending == open_ <= 5 and admission.established <= 3
-    for n, at in enumerate(sent):
-        within = [other for other in sent[n:] if other - at <= 100.0]
+        elif not admission.shed_reason(now_ms):
+            sent_at_ms.append(now_ms)
+            expected_pending += 1
+        assert admission.pending == expected_pending <= 5 and admission.established <= 3
+    for index, first_at in enumerate(sent_at_ms):
+        within = [other_at for other_at in sent_at_ms[index:] if other_at - first_at <= 100.0]
         assert len(within) <= 4 + 10 + 1
 
 
 @given(st.integers(0, 500), st.floats(0, 2), st.integers(1, 5), st.integers(0, 1000))
-def test_retries_stay_within_their_budget(first: int, budget: float, most: int, seed: int) -> None:
-    model = RetryModel(max_retries=most, budget=budget)
+def test_retries_stay_within_their_budget(
+    first_tries: int, budget: float, max_retries: int, seed: int
+) -> None:
+    model = RetryModel(max_retries=max_retries, budget=budget)
     retries = RetryScheduler(RetryPolicy.MODEL, model, random.Random(seed))
-    for _ in range(first):
+    for _ in range(first_tries):
         retries.count_first_try()
     granted = 0
-    for call in range(first):
-        tries = 1
-        while (pause := retries.retry_delay_ms(503, tries, 0.0 if call % 2 else 100.0)) is not None:
-            granted, tries = granted + 1, tries + 1
-            assert model.min_delay_ms <= pause <= model.max_delay_ms * (1 + model.jitter)
-        assert tries <= most + 1
-    assert granted == retries.granted <= budget * first
+    for call in range(first_tries):
+        try_number = 1
+        while (delay_ms := retries.retry_delay_ms(503, try_number, 0.0 if call % 2 else 100.0)) is not None:
+            granted, try_number = granted + 1, try_number + 1
+            assert model.min_delay_ms <= delay_ms <= model.max_delay_ms * (1 + model.jitter)
+        assert try_number <= max_retries + 1
+    assert granted == retries.granted <= budget * first_tries
     assert retries.retry_delay_ms(403, 1, 0.0) is None
     for policy in (RetryPolicy.NONE, RetryPolicy.RECORDED):
         assert RetryScheduler(policy, model, random.Random(1)).retry_delay_ms(503, 1, 0.0) is None
 
 
-def test_an_address_that_can_not_be_reached_is_left_alone_ever_longer() -> None:
-    backoff, now, pauses = ConnectBackoff(ReplayLimits()), 0.0, []
+def test_connect_backoff_doubles_up_to_its_maximum() -> None:
+    backoff, now_ms, delays_ms = ConnectBackoff(ReplayLimits()), 0.0, []
     for _ in range(10):
-        backoff.failed(now)
-        pauses.append(backoff.blocked_until_ms - now)
-        assert backoff.blocked(now) and not backoff.blocked(backoff.blocked_until_ms)
-        now = backoff.blocked_until_ms
-    assert pauses[:3] == [100.0, 200.0, 400.0] and pauses[-1] == 5000.0
+        backoff.failed(now_ms)
+        delays_ms.append(backoff.blocked_until_ms - now_ms)
+        assert backoff.blocked(now_ms) and not backoff.blocked(backoff.blocked_until_ms)
+        now_ms = backoff.blocked_until_ms
+    assert delays_ms[:3] == [100.0, 200.0, 400.0] and delays_ms[-1] == 5000.0
     backoff.connected()
-    assert not backoff.blocked(now)
+    assert not backoff.blocked(now_ms)
 
 
-# --- against a stand-in ---
+# --- replays to a simulated hub ---
 
 
 def offer(
-    made: list[PlannedCall],
+    planned: list[PlannedCall],
     port: int,
     options: ReplayOptions = ReplayOptions(),  # noqa: B008 (frozen)
-    **more: object,
+    **settings: object,
 ) -> Replay:
-    engine = Replay(made, ("127.0.0.1", port), options, t1_ms=100.0, **more)  # type: ignore[arg-type]
-    engine.run()
-    return engine
+    replay = Replay(planned, ("127.0.0.1", port), options, t1_ms=100.0, **settings)  # type: ignore[arg-type]
+    replay.run()
+    return replay
 
 
 @pytest.mark.parametrize("transport", ["UDP", "TCP"])
-def test_the_same_calls_come_out(transport: str, calls: list[CallRecord], answerer: Answerer) -> None:
-    made = plan(calls, ReplayOptions(transport=transport), SkippedCalls({}))
-    told = summary(offer(made, answerer.port).report)
-    assert told["calls"] == told["same"] == 25 and not told["errors"] and not told["twice_answered"]
+def test_replay_reproduces_the_recorded_calls(
+    transport: str, calls: list[CallRecord], answerer: Answerer
+) -> None:
+    planned = plan(calls, ReplayOptions(transport=transport), SkippedCalls({}))
+    totals = summary(offer(planned, answerer.port).report)
+    assert totals["calls"] == totals["same"] == 25 and not totals["errors"] and not totals["twice_answered"]
     seen = answerer.seen
     assert set(seen.invites.values()) == {1} and len(seen.invites) == len(seen.acks) == 25
-    assert len(seen.byes) == told["outcomes"]["stood"] and set(seen.byes.values()) == {1}
-    by_class = {name: sum(call.class_name == name for call in calls) for name in QUICK.classes}
-    assert {name: list(seen.classes.values()).count(name) for name in QUICK.classes} == by_class
+    assert len(seen.byes) == totals["outcomes"]["stood"] and set(seen.byes.values()) == {1}
+    by_class = {name: sum(call.class_name == name for call in calls) for name in SHORT_CALLS.classes}
+    assert {name: list(seen.classes.values()).count(name) for name in SHORT_CALLS.classes} == by_class
 
 
-def test_the_other_side_ends_its_calls_and_withdrawn_ones_are_cancelled(tmp_path: Path) -> None:
-    shape = replace(QUICK, calls=10, withdrawn=0.3, refused=0.0, called_ends=1.0)
-    calls = calls_of(tmp_path / "c", shape)
+def test_called_side_ends_calls_and_abandoned_calls_are_cancelled(tmp_path: Path) -> None:
+    traffic_shape = replace(SHORT_CALLS, calls=10, withdrawn=0.3, refused=0.0, called_ends=1.0)
+    calls = read_generated_calls(tmp_path / "c", traffic_shape)
     answerer = Answerer(Behaviour(ring_ms=1.0, answer_ms=100.0, ends_after_ms=30.0))
-    engine = offer(plan(calls, ReplayOptions(linger_ms=5000.0), SkippedCalls({})), answerer.port)
+    replay = offer(plan(calls, ReplayOptions(linger_ms=5000.0), SkippedCalls({})), answerer.port)
     answerer.end()
-    results = last_tries(engine.report)
+    results = last_tries(replay.report)
     assert [r.outcome for r in results] == [r.planned.recorded_outcome for r in results]
-    stood = [r for r in results if r.outcome is Outcome.STOOD]
-    assert stood and {r.ended_by for r in stood} == {"them"} and not answerer.seen.byes
-    assert len(answerer.seen.cancels) == len(results) - len(stood) > 0
+    established = [r for r in results if r.outcome is Outcome.STOOD]
+    assert established and {r.ended_by for r in established} == {"them"} and not answerer.seen.byes
+    assert len(answerer.seen.cancels) == len(results) - len(established) > 0
 
 
-def test_refused_calls_are_tried_again_within_the_budget(calls: list[CallRecord]) -> None:
+def test_refused_calls_are_retried_within_the_budget(calls: list[CallRecord]) -> None:
     answerer = Answerer(Behaviour(refuse=lambda user: 486))
     options = ReplayOptions(retries=RetryPolicy.MODEL)
     model = RetryModel(max_retries=2, initial_delay_ms=50.0, min_delay_ms=20.0, budget=0.4)
-    engine = offer(plan(calls, options, SkippedCalls({})), answerer.port, options, model=model)
+    replay = offer(plan(calls, options, SkippedCalls({})), answerer.port, options, model=model)
     answerer.end()
-    told = summary(engine.report)
-    assert told["retries"] == 10 and told["retries_denied"] > 0 and len(answerer.seen.invites) == 35
-    assert told["calls"] == 25 and told["outcomes"] == {"refused": 25}
+    totals = summary(replay.report)
+    assert totals["retries"] == 10 and totals["retries_denied"] > 0 and len(answerer.seen.invites) == 35
+    assert totals["calls"] == 25 and totals["outcomes"] == {"refused": 25}
 
 
-def test_what_passes_the_limits_is_shed_and_reported(calls: list[CallRecord]) -> None:
+def test_calls_over_the_limits_are_shed_and_reported(calls: list[CallRecord]) -> None:
     answerer = Answerer(Behaviour(answer_ms=400.0))
-    made = [replace(one, at_ms=one.at_ms / 20) for one in plan(calls, ReplayOptions(), SkippedCalls({}))]
-    engine = offer(made, answerer.port, limits=ReplayLimits(max_pending=10))
+    planned = [
+        replace(call, at_ms=call.at_ms / 20) for call in plan(calls, ReplayOptions(), SkippedCalls({}))
+    ]
+    replay = offer(planned, answerer.port, limits=ReplayLimits(max_pending=10))
     answerer.end()
-    told = summary(engine.report)
-    assert told["shed"] == {"too many calls without an answer": 15} and told["calls"] == 25
+    totals = summary(replay.report)
+    assert totals["shed"] == {"too many calls without an answer": 15} and totals["calls"] == 25
     assert len(answerer.seen.invites) == 10
 
 
-def test_a_peer_that_falls_silent_shifts_no_arrival(calls: list[CallRecord]) -> None:
+def test_unresponsive_peer_does_not_delay_later_calls(calls: list[CallRecord]) -> None:
     answerer = Answerer(Behaviour(silent_after=5))
-    made = [replace(one, patience_ms=200.0) for one in plan(calls, ReplayOptions(), SkippedCalls({}))]
-    engine = Replay(made, ("127.0.0.1", answerer.port), ReplayOptions(), t1_ms=10.0)
-    began = time.monotonic()
-    told = summary(engine.run())
+    planned = [replace(call, patience_ms=200.0) for call in plan(calls, ReplayOptions(), SkippedCalls({}))]
+    replay = Replay(planned, ("127.0.0.1", answerer.port), ReplayOptions(), t1_ms=10.0)
+    started_at = time.monotonic()
+    totals = summary(replay.run())
     arrivals = answerer.seen.at.values()
     answerer.end()
-    assert told["calls"] == 25 and told["outcomes"]["unanswered"] >= 18 and time.monotonic() - began < 5
-    assert max(arrivals) - min(arrivals) < made[-1].at_ms / 1000 + 0.5
+    assert (
+        totals["calls"] == 25 and totals["outcomes"]["unanswered"] >= 18 and time.monotonic() - started_at < 5
+    )
+    assert max(arrivals) - min(arrivals) < planned[-1].at_ms / 1000 + 0.5
 
 
-def test_a_port_that_is_shut_gives_each_call_its_outcome(calls: list[CallRecord]) -> None:
+def test_every_call_to_a_closed_port_gets_an_outcome(calls: list[CallRecord]) -> None:
     for transport in ("TCP", "UDP"):
-        made = [
-            replace(one, patience_ms=100.0)
-            for one in plan(calls, ReplayOptions(transport=transport), SkippedCalls({}))
+        planned = [
+            replace(call, patience_ms=100.0)
+            for call in plan(calls, ReplayOptions(transport=transport), SkippedCalls({}))
         ]
-        engine = Replay(made, ("127.0.0.1", free_port()), ReplayOptions(), t1_ms=5.0)
-        told = summary(engine.run())
-        assert told["calls"] == 25 and told["outcomes"] == {"unanswered": 25}
-        assert sum(told["errors"].values()) == 25
+        replay = Replay(planned, ("127.0.0.1", free_port()), ReplayOptions(), t1_ms=5.0)
+        totals = summary(replay.run())
+        assert totals["calls"] == 25 and totals["outcomes"] == {"unanswered": 25}
+        assert sum(totals["errors"].values()) == 25
 
 
-def test_a_connection_that_is_reset_mid_replay(calls: list[CallRecord]) -> None:
+def test_every_call_gets_an_outcome_when_connections_are_reset(calls: list[CallRecord]) -> None:
     listener = socket.create_server(("127.0.0.1", 0))
-    made = plan(calls, ReplayOptions(transport="TCP"), SkippedCalls({}))
-    engine = Replay(made, listener.getsockname(), ReplayOptions(), t1_ms=10.0)
+    planned = plan(calls, ReplayOptions(transport="TCP"), SkippedCalls({}))
+    replay = Replay(planned, listener.getsockname(), ReplayOptions(), t1_ms=10.0)
 
-    def cut() -> None:
+    def close_connections() -> None:
         while True:
             try:
                 sock, _ = listener.accept()
@@ -274,16 +290,16 @@
             sock.recv(100)
             sock.close()
 
-    threading.Thread(target=cut, daemon=True).start()
-    told = summary(engine.run())
+    threading.Thread(target=close_connections, daemon=True).start()
+    totals = summary(replay.run())
     listener.close()
-    assert told["calls"] == 25 and sum(told["errors"].values()) == 25
+    assert totals["calls"] == 25 and sum(totals["errors"].values()) == 25
 
 
-# --- progress ---
+# --- the state file ---
 
 
-def test_a_state_of_another_plan_or_a_torn_one_is_refused(tmp_path: Path) -> None:
+def test_damaged_state_file_or_one_of_another_plan_is_refused(tmp_path: Path) -> None:
     path = tmp_path / "state"
     assert progress.load(path, "a") is None
     progress.save(path, progress.ReplayState(progress.VERSION, "a", 5.0, 3, {0: "stood 200", 2: "x"}))
@@ -292,43 +308,43 @@
     with pytest.raises(ConfigError, match="another replay"):
         progress.load(path, "b")
     whole = path.read_bytes()
-    for cut in (b"", whole[:-3], b"{}", b"\xff", whole.replace(b'"version":1', b'"version":9')):
-        path.write_bytes(cut)
+    for damaged in (b"", whole[:-3], b"{}", b"\xff", whole.replace(b'"version":1', b'"version":9')):
+        path.write_bytes(damaged)
         with pytest.raises(ConfigError, match=str(path)):
             progress.load(path, "a")
 
 
-def test_a_full_disk_leaves_the_old_state(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_disk_leaves_the_old_state_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "state"
     old = progress.ReplayState(progress.VERSION, "a", 0.0, 1, {})
     progress.save(path, old)
 
-    def full(_fd: int) -> None:
+    def fail_fsync(_fd: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", fail_fsync)
     with pytest.raises(OSError, match="No space"):
         progress.save(path, progress.ReplayState(progress.VERSION, "a", 9.0, 9, {}))
     assert progress.load(path, "a") == old and list(tmp_path.iterdir()) == [path]
 
 
-def test_a_killed_replay_goes_on_without_offering_a_call_twice(tmp_path: Path) -> None:
+def test_killed_replay_resumes_without_offering_a_call_twice(tmp_path: Path) -> None:
     capture, state = tmp_path / "c.pcap", tmp_path / "state"
-    calls_of(capture, replace(QUICK, calls=120))
+    read_generated_calls(capture, replace(SHORT_CALLS, calls=120))
     answerer = Answerer(Behaviour(ring_ms=1.0))
     command = [sys.executable, "-m", "landingdeal", "capture", "replay", str(capture), "--to",
                f"127.0.0.1:{answerer.port}", "--state", str(state), "--json", "--t1-ms", "100"]  # fmt: skip
     first = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL)
-    until = time.monotonic() + PATIENCE_S
-    while len(answerer.seen.invites) < 30 and time.monotonic() < until:
+    deadline = time.monotonic() + PATIENCE_S
+    while len(answerer.seen.invites) < 30 and time.monotonic() < deadline:
         time.sleep(0.01)
     first.send_signal(signal.SIGKILL)
     first.wait()
     before = len(answerer.seen.invites)
     second = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
     answerer.end()
-    told = json.loads(second.stdout)
+    totals = json.loads(second.stdout)
     assert 30 <= before < 120 and set(answerer.seen.invites.values()) == {1}
-    assert told["skipped"] + told["calls"] == 120 and told["skipped"] >= before
-    assert len(answerer.seen.invites) == before + told["calls"]
-    assert 0 < told["left_in_flight"] <= told["skipped"]
+    assert totals["skipped"] + totals["calls"] == 120 and totals["skipped"] >= before
+    assert len(answerer.seen.invites) == before + totals["calls"]
+    assert 0 < totals["left_in_flight"] <= totals["skipped"]
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line as operators use it: what it prints, and its exit codes."""
+"""Tests of the command line: output and exit codes."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from tests.scenario import ROOT
 
 
-def landingdeal(*words: str, data: bytes = b"") -> tuple[int, str, str]:
+def landingdeal(*arguments: str, data: bytes = b"") -> tuple[int, str, str]:
     env = {
         key: value
         for key, value in os.environ.items()
         if key not in ("ROUTER_CONFIG", "LANDINGDEAL_OPERATOR")
     }
-    done = subprocess.run(
-        [sys.executable, "-m", "landingdeal", *words], cwd=ROOT, env=env, input=data, capture_output=True
+    completed = subprocess.run(
+        [sys.executable, "-m", "landingdeal", *arguments], cwd=ROOT, env=env, input=data, capture_output=True
     )
-    return done.returncode, done.stdout.decode(), done.stderr.decode()
+    return completed.returncode, completed.stdout.decode(), completed.stderr.decode()
 
 
 @pytest.fixture(scope="module")
@@ -36,18 +36,18 @@
     return path
 
 
-HELPED = ["", "capture", "capture check", "capture info", "capture calls", "capture ladder", "config",
+COMMANDS = ["", "capture", "capture check", "capture info", "capture calls", "capture ladder", "config",
           "config check", "serve"]  # fmt: skip
 
 
-@pytest.mark.parametrize("words", HELPED)
+@pytest.mark.parametrize("words", COMMANDS)
 def test_every_command_has_help(words: str) -> None:
     code, out, err = landingdeal(*words.split(), "--help")
     assert code == 0 and "Usage:" in out and not err
 
 
 @pytest.mark.parametrize(
-    ("words", "told"),
+    ("arguments", "message"),
     [
         (("bogus",), "No such command 'bogus'"),
         (("capture", "check"), "Missing argument"),
@@ -58,28 +58,30 @@
         ((), "neither ROUTER_CONFIG nor an operator's file"),
     ],
 )
-def test_what_can_not_run_is_one_line_and_code_2(words: tuple[str, ...], told: str) -> None:
-    code, _, err = landingdeal(*words)
-    assert code == 2 and told in err and err.count("\n") == 1
+def test_command_that_can_not_run_prints_one_line_and_exits_with_2(
+    arguments: tuple[str, ...], message: str
+) -> None:
+    code, _, errors = landingdeal(*arguments)
+    assert code == 2 and message in errors and errors.count("\n") == 1
 
 
-def test_check_says_what_is_wrong_and_where(sample: Path) -> None:
+def test_check_reports_the_problem_and_its_position(sample: Path) -> None:
     assert landingdeal("capture", "check", str(sample))[0] == 0
     code, out, _ = landingdeal("capture", "check", "--json", str(sample))
-    told = json.loads(out)
-    assert code == 0 and told["complete"] and told["calls"] == 12 and told["problems"] == []
-    cut = sample.with_name("cut")
-    cut.write_bytes(sample.read_bytes()[:-30])
-    code, out, _ = landingdeal("capture", "check", "--json", str(cut))
-    told = json.loads(out)
-    (problem,) = told["problems"]
-    assert code == 1 and not told["complete"] and problem["kind"] == "truncated-file"
-    assert 0 < problem["offset"] < cut.stat().st_size and problem["packet"] == told["packets"] + 1
+    report = json.loads(out)
+    assert code == 0 and report["complete"] and report["calls"] == 12 and report["problems"] == []
+    truncated = sample.with_name("cut")
+    truncated.write_bytes(sample.read_bytes()[:-30])
+    code, out, _ = landingdeal("capture", "check", "--json", str(truncated))
+    report = json.loads(out)
+    (problem,) = report["problems"]
+    assert code == 1 and not report["complete"] and problem["kind"] == "truncated-file"
+    assert 0 < problem["offset"] < truncated.stat().st_size and problem["packet"] == report["packets"] + 1
     code, out, _ = landingdeal("capture", "check", "README.md")
     assert code == 1 and "not-a-capture" in out
 
 
-def test_calls_as_table_as_csv_and_as_json(sample: Path) -> None:
+def test_calls_prints_a_table_csv_or_json(sample: Path) -> None:
     code, out, _ = landingdeal("capture", "calls", str(sample))
     assert code == 0 and len(out.splitlines()) == 13
     _, out, _ = landingdeal("capture", "calls", "--csv", str(sample))
@@ -89,26 +91,26 @@
     assert [row["call_id"] for row in rows] == [row["call_id"] for row in objects] and len(rows) == 12
 
 
-def test_standard_input_and_a_ladder(sample: Path) -> None:
+def test_info_reads_standard_input_and_ladder_draws_a_call(sample: Path) -> None:
     code, out, _ = landingdeal("capture", "info", "--json", "-", data=sample.read_bytes())
     assert code == 0 and json.loads(out)["calls"] == 12
     _, out, _ = landingdeal("capture", "calls", "--json", str(sample))
-    stood = next(one for one in map(json.loads, out.splitlines()) if one["outcome"] == "stood")
-    code, out, _ = landingdeal("capture", "ladder", stood["call_id"], str(sample))
+    established = next(call for call in map(json.loads, out.splitlines()) if call["outcome"] == "stood")
+    code, out, _ = landingdeal("capture", "ladder", established["call_id"], str(sample))
     assert code == 0 and out.splitlines()[2].rstrip().endswith(">|") and " 180 Ringing " in out
-    assert stood["call_id"] in out.splitlines()[0]
+    assert established["call_id"] in out.splitlines()[0]
 
 
-def test_several_files_are_one_capture(sample: Path) -> None:
-    made = packets(traffic(Shape(calls=10)))
+def test_check_reads_several_files_as_one_capture(sample: Path) -> None:
+    all_packets = packets(traffic(Shape(calls=10)))
     names = [sample.with_name(f"part{n}") for n in range(2)]
     for n, name in enumerate(names):
-        name.write_bytes(capture_file(made[n::2], PcapFile()))
+        name.write_bytes(capture_file(all_packets[n::2], PcapFile()))
     code, out, _ = landingdeal("capture", "check", "--json", *map(str, names))
     assert code == 0 and json.loads(out)["calls"] == 10
 
 
-def test_config_check_names_every_file(tmp_path: Path) -> None:
+def test_config_check_reports_every_file(tmp_path: Path) -> None:
     bad = tmp_path / "bad.toml"
     bad.write_text("[sop]\n")
     code, out, _ = landingdeal("config", "check", "deploy/operator.toml", str(bad))
