--- a/landingdeal/capture/compare.py
+++ b/landingdeal/capture/compare.py
@@ -67,7 +67,7 @@
 
 
 def time_shifts_ms(comparison: Comparison) -> dict[str, list[float]]:
-    """By how much B is later than A: start times (relative to the first pair), answer and holding times."""
+    """By how much B is later than A: starts (relative to the first paired call), answer and holding times."""
     if not comparison.pairs:
         return {}
     first_a, first_b = (min(pair[n].start_ns for pair in comparison.pairs) for n in (0, 1))
--- a/landingdeal/capture/plan.py
+++ b/landingdeal/capture/plan.py
@@ -110,7 +110,7 @@
     calls: Iterable[CallRecord], options: ReplayOptions, skipped: SkippedCalls, first_ns: int | None = None
 ) -> list[PlannedCall]:
     """The calls in the order in which they are offered, numbered; `skipped` counts those left out."""
-    found: list[CallRecord] = []
+    accepted: list[CallRecord] = []
     for call in calls:
         reason = skip_reason(call)
         if not reason and call.first_try and options.retries is not RetryPolicy.RECORDED:
@@ -118,11 +118,13 @@
         if reason:
             skipped.add(reason)
         else:
-            found.append(call)
-    if not found:
+            accepted.append(call)
+    if not accepted:
         return []
-    start = min(call.invite_ns for call in found) if first_ns is None else first_ns
-    planned = [entry for call in found for entry in with_copies(planned_call(call, start, options), options)]
+    start_ns = min(call.invite_ns for call in accepted) if first_ns is None else first_ns
+    planned = [
+        entry for call in accepted for entry in with_copies(planned_call(call, start_ns, options), options)
+    ]
     planned.sort(key=lambda entry: (entry.at_ms, entry.number, entry.copy_number))
     return [replace(entry, index=index) for index, entry in enumerate(planned)]
 
--- a/landingdeal/capture/results.py
+++ b/landingdeal/capture/results.py
@@ -72,7 +72,7 @@
 def summary(report: ReplayReport) -> dict[str, Any]:
     """Totals, send delays and answer times per class."""
     results = last_tries(report)
-    late = [result.late_ms for result in report.results if not result.error.startswith("shed")]
+    delays_ms = [result.late_ms for result in report.results if not result.error.startswith("shed")]
     by_class: dict[str, list[ReplayResult]] = defaultdict(list)
     for result in results:
         by_class[result.planned.class_name or "-"].append(result)
@@ -86,9 +86,9 @@
         "retries_denied": report.retries_denied, "skipped": report.skipped,
         "left_in_flight": len(report.left_in_flight), "strays": report.unmatched_messages,
         "late_ms": {
-            "p50": round(quantile(late, 0.5), 3), "p99": round(quantile(late, 0.99), 3),
-            "most": round(max(late, default=float("nan")), 3),
-            "over_1_ms": sum(value > LATE_THRESHOLD_MS for value in late),
+            "p50": round(quantile(delays_ms, 0.5), 3), "p99": round(quantile(delays_ms, 0.99), 3),
+            "most": round(max(delays_ms, default=float("nan")), 3),
+            "over_1_ms": sum(value > LATE_THRESHOLD_MS for value in delays_ms),
         },
         "classes": {
             name: {
--- a/landingdeal/capture/rewrite.py
+++ b/landingdeal/capture/rewrite.py
@@ -68,21 +68,25 @@
         return xxhash.xxh3_64_intdigest(f"{self.key}\0{category}\0{text}".encode("utf-8", "surrogateescape"))
 
     def _replacement(self, category: str, text: str, build: Callable[[int], str]) -> str:
-        found = self.replacements.get((category, text))
-        if found is None:
-            if len(self.replacements) > 1_000_000:  # the replacements are computed again when needed
+        replacement = self.replacements.get((category, text))
+        if replacement is None:
+            if len(self.replacements) > 1_000_000:  # limits the memory; they are recomputed when needed
                 self.replacements.clear()
-            found = self.replacements[category, text] = build(self._hash(category, text))
-        return found
+            replacement = self.replacements[category, text] = build(self._hash(category, text))
+        return replacement
 
     def scrub_user(self, text: str) -> str:
+        """Replaces a user name or telephone number."""
         if text.lstrip("+").isdecimal() and len(text.lstrip("+")) > 1:
             plus, digits = text[: len(text) - len(text.lstrip("+"))], text.lstrip("+")
-            rest = len(digits) - 1
-            return self._replacement("digits", text, lambda h: f"{plus}{digits[0]}{h % 10**rest:0{rest}d}")
+            digit_count = len(digits) - 1
+            return self._replacement(
+                "digits", text, lambda h: f"{plus}{digits[0]}{h % 10**digit_count:0{digit_count}d}"
+            )
         return self._replacement("user", text, lambda h: f"u{h % 16**10:010x}")
 
     def scrub_host(self, text: str) -> str:
+        """Replaces a host name or IP address by one of the same type."""
         if re.fullmatch(r"[\d.]+", text):
             return self._replacement("v4", text, lambda h: f"10.{h >> 16 & 255}.{h >> 8 & 255}.{h % 254 + 1}")
         if ":" in text:
@@ -99,17 +103,17 @@
         text = _HOST.sub(lambda m: self.scrub_host(m[0]), text)
         return _V6.sub(lambda m: f"[{self.scrub_host(m[0][1:-1])}]", text)
 
-    def scrub_body(self, category: str, data: bytes) -> bytes:
+    def scrub_body(self, content_type: str, data: bytes) -> bytes:
         """Replaces names and addresses in SDP; overwrites any other body with as many x."""
-        if not category.lower().startswith("application/sdp"):
+        if not content_type.lower().startswith("application/sdp"):
             return b"x" * len(data)
         lines = []
         for line in data.split(b"\r\n"):
-            found = _SDP_NAME.match(line)
-            if found and found[1]:
-                line = found[1] + b"- " + found[3].lstrip()
-            elif found:
-                line = found[4] + b"-"
+            name_match = _SDP_NAME.match(line)
+            if name_match and name_match[1]:
+                line = name_match[1] + b"- " + name_match[3].lstrip()
+            elif name_match:
+                line = name_match[4] + b"-"
             line = _SDP_HOST.sub(
                 lambda m: (m[1] or m[3]) + self.scrub_host((m[2] or m[4]).decode("ascii")).encode(), line
             )
@@ -117,6 +121,7 @@
         return b"\r\n".join(lines)
 
     def scrub_message(self, message: Message) -> Message:
+        """Replaces names and addresses in all parts of a message; removes credentials."""
         headers = []
         for name, value in message.headers:
             if name == "call-id":
@@ -128,8 +133,8 @@
             elif name in ("authorization", "proxy-authorization"):
                 continue
             headers.append((name, value))
-        category = message.get("content-type", "application/sdp")
-        body = self.scrub_body(category, message.body) if message.body else b""
+        content_type = message.get("content-type", "application/sdp")
+        body = self.scrub_body(content_type, message.body) if message.body else b""
         uri = self.scrub_value(message.uri) if message.uri else ""
         return replace(message, uri=uri, headers=tuple(headers), body=body)
 
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -193,7 +193,7 @@
 ) -> None:
     """Offer the calls of captures to an address as open-loop load.
 
-    Exit code 1 if a call had an error or several final answers.
+    Exit code 1 if a call had an error or several final answers, or the replay was interrupted.
     """
     from landingdeal.capture.limits import ReplayLimits
     from landingdeal.capture.plan import ReplayOptions, SkippedCalls, plan
--- a/landingdeal/commands/capture_files.py
+++ b/landingdeal/commands/capture_files.py
@@ -54,12 +54,14 @@
     spans: dict[str, list[tuple[int, int]]] = {}
     for call in read_calls((str(file),), reading, False):
         if predicate(call):
-            last = max([call.start_ns, call.over_ns, *(step.time_ns for step in call.steps)])
-            spans.setdefault(call.call_id, []).append((call.start_ns, last))
+            last_ns = max([call.start_ns, call.over_ns, *(step.time_ns for step in call.steps)])
+            spans.setdefault(call.call_id, []).append((call.start_ns, last_ns))
 
     def selected() -> Iterator[Seen]:
         for seen in read([str(file)], Reading()):
-            if any(low <= seen.time_ns <= high for low, high in spans.get(seen.message.call_id, ())):
+            if any(
+                start_ns <= seen.time_ns <= end_ns for start_ns, end_ns in spans.get(seen.message.call_id, ())
+            ):
                 yield seen
 
     write_capture(out, selected())
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -141,8 +141,8 @@
         now_ms += delay_ms
         if gets_answer and expected_pending:
             expected_pending -= 1
-            admission.answered(stands := admission.established < 3)
-            if not stands and admission.established:
+            admission.answered(established := admission.established < 3)
+            if not established and admission.established:
                 admission.call_ended()
         elif not admission.shed_reason(now_ms):
             sent_at_ms.append(now_ms)
