--- a/landingdeal/capture/limits.py
+++ b/landingdeal/capture/limits.py
@@ -1,7 +1,8 @@
-"""What a replay may have out at once. Decisions only: the time is told.
+"""Load limits of a replay. No I/O and no clock of its own: the caller passes the time.
 
-Open loop means that a slow peer never shifts later arrivals; so what would pass a bound is shed and counted,
-and an address that can't be reached is left alone for a while instead of being called by every call at once.
+The load is open loop: a slow peer never delays later arrivals. Calls over a limit are therefore shed and
+counted, not queued. After a failed connection the address is not dialled for a back-off time, so that
+the following calls don't all dial it at once.
 """
 
 from __future__ import annotations
@@ -10,61 +11,67 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    outstanding: int = 10_000  # calls without a final answer
-    standing: int = 50_000
-    per_s: float = 5_000.0  # first messages, tries again included
-    burst: float = 500.0
-    backoff_ms: float = 100.0  # after the first failure to connect; doubles
-    backoff_most_ms: float = 5_000.0
+class ReplayLimits:
+    """Limits on the calls in progress, on the send rate and on connection attempts."""
 
+    max_pending: int = 10_000  # calls without a final answer
+    max_established: int = 50_000
+    max_per_s: float = 5_000.0  # set-ups, retries included
+    burst: float = 500.0  # set-ups that may exceed the rate at once
+    initial_backoff_ms: float = 100.0  # after the first failed connection; doubles with each further one
+    max_backoff_ms: float = 5_000.0
 
-class Admission:
-    """Asked before each send; says why a call is shed, or nothing."""
 
-    def __init__(self, limits: Limits) -> None:
+class AdmissionControl:
+    """Admits or sheds each set-up: limits on calls in progress, and a token bucket for the rate."""
+
+    def __init__(self, limits: ReplayLimits) -> None:
         self.limits = limits
-        self.waiting = self.standing = 0
-        self._room, self._at_ms = limits.burst, 0.0
+        self.pending = self.established = 0
+        self._tokens, self._refilled_at_ms = limits.burst, 0.0
 
-    def objection(self, now_ms: float) -> str:
+    def shed_reason(self, now_ms: float) -> str:
+        """Why the set-up is shed; empty if it is admitted, which also counts it as pending."""
         limits = self.limits
-        self._room = min(self._room + max(now_ms - self._at_ms, 0.0) / 1000 * limits.per_s, limits.burst)
-        self._at_ms = max(now_ms, self._at_ms)
-        if self.waiting >= limits.outstanding:
+        self._tokens = min(
+            self._tokens + max(now_ms - self._refilled_at_ms, 0.0) / 1000 * limits.max_per_s, limits.burst
+        )
+        self._refilled_at_ms = max(now_ms, self._refilled_at_ms)
+        if self.pending >= limits.max_pending:
             return "too many calls without an answer"
-        if self.standing >= limits.standing:
+        if self.established >= limits.max_established:
             return "too many calls that stand"
-        if self._room < 1:
+        if self._tokens < 1:
             return "too many a second"
-        self._room -= 1
-        self.waiting += 1
+        self._tokens -= 1
+        self.pending += 1
         return ""
 
-    def answered(self, stands: bool) -> None:
-        self.waiting -= 1
-        self.standing += stands
+    def answered(self, is_established: bool) -> None:
+        """An admitted set-up got its final answer, or failed."""
+        self.pending -= 1
+        self.established += is_established
 
-    def ended(self) -> None:
-        """A call that stood is over."""
-        self.standing -= 1
+    def call_ended(self) -> None:
+        """An established call ended."""
+        self.established -= 1
 
 
-class Backoff:
-    """One address: when it may be tried again after it could not be reached."""
+class ConnectBackoff:
+    """Exponential back-off of the connections to one address."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: ReplayLimits) -> None:
         self.limits = limits
         self.failures = 0
-        self.until_ms = float("-inf")
+        self.blocked_until_ms = float("-inf")
 
     def failed(self, now_ms: float) -> None:
-        pause = min(self.limits.backoff_ms * 2.0**self.failures, self.limits.backoff_most_ms)
+        delay_ms = min(self.limits.initial_backoff_ms * 2.0**self.failures, self.limits.max_backoff_ms)
         self.failures = min(self.failures + 1, 32)
-        self.until_ms = now_ms + pause
+        self.blocked_until_ms = now_ms + delay_ms
 
-    def reached(self) -> None:
-        self.failures, self.until_ms = 0, float("-inf")
+    def connected(self) -> None:
+        self.failures, self.blocked_until_ms = 0, float("-inf")
 
-    def shut(self, now_ms: float) -> bool:
-        return now_ms < self.until_ms
+    def blocked(self, now_ms: float) -> bool:
+        return now_ms < self.blocked_until_ms
--- a/landingdeal/capture/settings.py
+++ b/landingdeal/capture/settings.py
@@ -12,7 +12,9 @@
 from landingdeal.errors import ConfigError
 
 
-class _Section(msgspec.Struct, forbid_unknown_fields=True):
+class _CaptureSection(msgspec.Struct, forbid_unknown_fields=True):
+    """The section as written in the file. A size or time of 0 means no limit."""
+
     read: str | list[str] = []
     write: str = ""
     file_mb: float = 64.0
@@ -23,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CaptureSettings:
-    """`read`: files played as callers, none of them to play nothing; `write` None: nothing is written."""
+    """`read`: captures that are played as callers. `write`: the file that calls are recorded to, or None."""
 
     read: tuple[str, ...] = ()
     write: Path | None = None
@@ -31,20 +33,20 @@
     compress: str = ""
 
 
-def read_capture(raw: dict[str, Any]) -> CaptureSettings:
-    """Raises ConfigError that names section, key and reason."""
+def parse_capture_settings(raw: dict[str, Any]) -> CaptureSettings:
+    """Checks the section. Raises ConfigError with the section, key and reason."""
     try:
-        told = msgspec.convert(raw, _Section)
+        section = msgspec.convert(raw, _CaptureSection)
     except msgspec.ValidationError as error:
         raise ConfigError(f"sip.capture: {error}") from None
     for key in ("file_mb", "file_minutes", "total_mb"):
-        if not 0 <= getattr(told, key) < 1e9:
+        if not 0 <= getattr(section, key) < 1e9:
             raise ConfigError(f"sip.capture.{key} is from 0 (no bound) to 1e9")
-    if 0 < told.total_mb < told.file_mb or told.file_mb == 0 < told.total_mb:
+    if 0 < section.total_mb < section.file_mb or section.file_mb == 0 < section.total_mb:
         raise ConfigError("sip.capture.total_mb is less than one file may hold")
-    read = (told.read,) if isinstance(told.read, str) else tuple(told.read)
+    read = (section.read,) if isinstance(section.read, str) else tuple(section.read)
     bounds = RotationLimits(
-        round(told.file_mb * 2**20), told.file_minutes * 60_000, round(told.total_mb * 2**20)
+        round(section.file_mb * 2**20), section.file_minutes * 60_000, round(section.total_mb * 2**20)
     )
-    write = Path(told.write) if told.write else None
-    return CaptureSettings(tuple(filter(None, read)), write, bounds, told.compress)
+    write = Path(section.write) if section.write else None
+    return CaptureSettings(tuple(filter(None, read)), write, bounds, section.compress)
--- a/landingdeal/commands/main.py
+++ b/landingdeal/commands/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands; each module is imported only when its command is asked for."""
+"""The command group. The module of a command is imported only when the command is used."""
 
 from __future__ import annotations
 
@@ -10,39 +10,41 @@
 
 from landingdeal.errors import ConfigError
 
-FOUND, CAN_NOT = 1, 2
-LAZY = {
+EXIT_PROBLEMS, EXIT_CANNOT_RUN = 1, 2
+LAZY_COMMANDS = {  # name: module, attribute, help text
     "serve": ("landingdeal.commands.serve", "serve", "Start the program, as without a command."),
-    "demo": ("landingdeal.commands.demo", "demo", "Show the program at work, with stand-ins."),
+    "demo": ("landingdeal.commands.demo", "demo", "Run the program with simulated hubs and callers."),
     "config": ("landingdeal.commands.config", "config", "Check configuration files."),
-    "capture": ("landingdeal.commands.capture_files", "capture", "Read, check and look into captures."),
+    "capture": ("landingdeal.commands.capture_files", "capture", "Inspect, check, replay and edit captures."),
 }
 
 
-class Lazy(click.Group):
-    """Knows its commands by name, and what they are by module."""
+class LazyGroup(click.Group):
+    """A command group that imports its commands on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted(LAZY)
+        return sorted(LAZY_COMMANDS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        if name not in LAZY:
+        if name not in LAZY_COMMANDS:
             return None
-        module, attribute, _ = LAZY[name]
-        made = getattr(importlib.import_module(module), attribute)
-        assert isinstance(made, click.Command)
-        return made
+        module, attribute, _ = LAZY_COMMANDS[name]
+        command = getattr(importlib.import_module(module), attribute)
+        assert isinstance(command, click.Command)
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         with formatter.section("Commands"):
-            formatter.write_dl([(name, LAZY[name][2]) for name in self.list_commands(ctx)])
+            formatter.write_dl([(name, LAZY_COMMANDS[name][2]) for name in self.list_commands(ctx)])
 
 
-@click.group(cls=Lazy, invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(
+    cls=LazyGroup, invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]}
+)
 @click.option("--operator", envvar="LANDINGDEAL_OPERATOR", default="", help="The operator's file (TOML).")
 @click.pass_context
 def group(ctx: click.Context, operator: str) -> None:
-    """A border controller between callers and lab hubs. Without a command it starts, as `serve` does."""
+    """A border controller between callers and lab hubs. Without a command it runs `serve`."""
     if ctx.invoked_subcommand is None:
         from landingdeal.__main__ import serve
 
@@ -50,26 +52,26 @@
 
 
 def run(arguments: list[str]) -> int:
-    """The exit code; whatever can't be done is one line on standard error."""
+    """Runs a command line and returns the exit code. An error is one line on standard error."""
     try:
-        made: Any = group.main(args=arguments, prog_name="landingdeal", standalone_mode=False)
-        return int(made or 0)
-    except click.exceptions.Exit as ended:
-        return ended.exit_code
+        result: Any = group.main(args=arguments, prog_name="landingdeal", standalone_mode=False)
+        return int(result or 0)
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
     except click.ClickException as error:
         ctx = error.ctx if isinstance(error, click.UsageError) else None
-        where = f" (see {ctx.command_path} --help)" if ctx is not None else ""
-        print(f"landingdeal: {error.format_message()}{where}", file=sys.stderr)
-        return CAN_NOT
+        hint = f" (see {ctx.command_path} --help)" if ctx is not None else ""
+        print(f"landingdeal: {error.format_message()}{hint}", file=sys.stderr)
+        return EXIT_CANNOT_RUN
     except click.Abort:
-        print("landingdeal: stopped", file=sys.stderr)
-        return CAN_NOT
-    except BrokenPipeError:  # whoever read our output has enough
+        print("landingdeal: interrupted", file=sys.stderr)
+        return EXIT_CANNOT_RUN
+    except BrokenPipeError:  # the reader of our output closed the pipe
         sys.stdout = None
         return 0
     except (ConfigError, OSError, UnicodeDecodeError) as error:
         print(f"landingdeal: {error}", file=sys.stderr)
-        return CAN_NOT
+        return EXIT_CANNOT_RUN
     except ModuleNotFoundError as error:
-        print(f"landingdeal: this needs {error.name}: pip install 'landingdeal[tools]'", file=sys.stderr)
-        return CAN_NOT
+        print(f"landingdeal: missing package {error.name}: pip install 'landingdeal[tools]'", file=sys.stderr)
+        return EXIT_CANNOT_RUN
--- a/landingdeal/lab/demo.py
+++ b/landingdeal/lab/demo.py
@@ -17,10 +17,10 @@
 
 from landingdeal.capture.calls import CallTracker
 from landingdeal.capture.encode import PcapngEncoder
-from landingdeal.capture.plan import Left, Shape, plan
-from landingdeal.capture.player import Result
+from landingdeal.capture.plan import ReplayOptions, SkippedCalls, plan
+from landingdeal.capture.player import ReplayResult
 from landingdeal.capture.reader import ReadReport, read_messages
-from landingdeal.capture.replay import Replay, Report
+from landingdeal.capture.replay import Replay, ReplayReport
 from landingdeal.capture.results import last_tries, rows
 from landingdeal.capture.sample import TrafficProfile as Traffic
 from landingdeal.capture.sample import encode_capture, generate_traffic, to_packets
@@ -138,13 +138,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Shown:
-    report: Report
+    report: ReplayReport
     planned: int
     table: list[dict[str, Any]]
 
     @property
-    def unanswered(self) -> list[Result]:
-        return [result for result in last_tries(self.report) if result.finals != 1]
+    def unanswered(self) -> list[ReplayResult]:
+        return [result for result in last_tries(self.report) if result.final_answers != 1]
 
 
 def demonstrate(calls: int = 40, per_s: float = 20.0, seed: int = 1) -> Shown:
@@ -160,9 +160,9 @@
             found = [
                 call for seen in read_messages([str(capture)], ReadReport()) for call in table.feed(seen)
             ]
-            planned = plan([*found, *table.end()], Shape(linger_ms=0.0), Left({}))
+            planned = plan([*found, *table.end()], ReplayOptions(linger_ms=0.0), SkippedCalls({}))
             with front(folder, (hubs[0].port, hubs[1].port)) as port:
-                report = Replay(planned, ("127.0.0.1", port), Shape()).run()
+                report = Replay(planned, ("127.0.0.1", port), ReplayOptions()).run()
     finally:
         for hub in hubs:
             hub.end()
--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -26,7 +26,7 @@
     generate_traffic,
     to_packets,
 )
-from landingdeal.capture.settings import read_capture
+from landingdeal.capture.settings import parse_capture_settings
 from landingdeal.capture.sink import MAX_QUEUED_MESSAGES, CaptureWriter, wait_written
 from landingdeal.clock import now_ms
 from landingdeal.errors import ConfigError
@@ -231,7 +231,7 @@
 )  # fmt: skip
 def test_invalid_settings_are_rejected_with_section_key_and_reason(raw: dict[str, object], key: str) -> None:
     with pytest.raises(ConfigError, match=f"sip.capture.*{key}"):
-        read_capture(raw)
+        parse_capture_settings(raw)
 
 
 # --- the running front ---
