--- a/landingdeal/capture/sink.py
+++ b/landingdeal/capture/sink.py
@@ -22,7 +22,7 @@
 from landingdeal.capture.layers import Address
 from landingdeal.capture.rotation import Bounds, Closed, full, to_remove
 from landingdeal.clock import now_ms, seconds_until
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.sip.message import Message, encode
 from landingdeal.threads import start_thread
 
@@ -102,7 +102,7 @@
                     self.file.write(self.form.record(self.last_ns, frame))
                 self.file.close()
         told = f"capture: {self.written} messages written"
-        say(f"{told}, {self.left_out} left out, {self.failed} not taken by the disk")
+        log_text(f"{told}, {self.left_out} left out, {self.failed} not taken by the disk")
         self.ended.set()
 
     def _write(self, batch: list[Passed]) -> None:
@@ -169,7 +169,7 @@
 
     def _give_up(self, why: str) -> None:
         """The disk is full, or gone: what was written stays as it is, and a new file is tried later."""
-        say(f"capture: {why}; messages are left out")
+        log_text(f"capture: {why}; messages are left out")
         self._close()
         self.shut_until_ms = now_ms() + AGAIN_MS
 
@@ -199,7 +199,7 @@
         try:
             self._open()
         except OSError as error:
-            say(f"capture: {error}; messages are left out")
+            log_text(f"capture: {error}; messages are left out")
             self.shut_until_ms = now_ms() + AGAIN_MS
         if moved is not None and self.compress:
             number = self.number
@@ -239,7 +239,7 @@
         part.rename(made)
         path.unlink(missing_ok=True)
     except OSError as error:
-        say(f"capture: {path.name} stays as it is: {error}")
+        log_text(f"capture: {path.name} stays as it is: {error}")
         with contextlib.suppress(OSError):
             part.unlink(missing_ok=True)
 
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -20,7 +20,7 @@
 from landingdeal.capture.retries import Policy
 from landingdeal.capture.views import FIELDS, as_row, call_table, ladder_of
 from landingdeal.commands.main import CAN_NOT, FOUND
-from landingdeal.errors import address
+from landingdeal.errors import parse_address
 
 FILES = click.argument("files", nargs=-1, required=True)
 JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
@@ -184,7 +184,9 @@
     if not made:
         raise click.ClickException(f"nothing to offer in {', '.join(files)}: {left.reasons or 'no calls'}")
     limits = Limits(outstanding=given["outstanding"], per_s=given["per_s"])
-    engine = Replay(made, address(to, "--to"), shape, limits, state_file=given["state"], t1_ms=given["t1_ms"])
+    engine = Replay(
+        made, parse_address(to, "--to"), shape, limits, state_file=given["state"], t1_ms=given["t1_ms"]
+    )
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, lambda *_: engine.stop())
     report = engine.run()
--- a/landingdeal/commands/config.py
+++ b/landingdeal/commands/config.py
@@ -20,9 +20,9 @@
 
             read_config(text)
         else:
-            from landingdeal.operator import read_operator
+            from landingdeal.operator import parse_operator_config
 
-            read_operator(text)
+            parse_operator_config(text)
     except ConfigError as error:
         return str(error)
     return ""
--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -56,7 +56,7 @@
 from landingdeal.core.exchange import Exchange, Standing
 from landingdeal.core.guard import Guard
 from landingdeal.core.lifecycle import Lifecycle
-from landingdeal.log import record, say
+from landingdeal.log import log_event, log_text
 
 INBOX_MOST = 4096  # set-ups above this are refused by the front at once
 OPEN_MOST = 4000  # calls waiting for an answer
@@ -268,7 +268,7 @@
         elif self.now < self.refused.get(offer.call, 0.0):
             exchange.refuse(self._come_back())  # its last attempt is still being released at a lab hub
         if exchange.final or kind is None:
-            record("refused", call=offer.call, by="core", attempts=0, known=again is not None)
+            log_event("refused", call=offer.call, by="core", attempts=0, known=again is not None)
             self.contracts.ended(offer.call)
             return
         self.open[offer.call] = self.by_number[exchange.number] = exchange
@@ -295,7 +295,7 @@
             if self.now - known.since_ms > SENT_AGAIN_MS:
                 return False
             offer.caller.answer(known.description)
-        record("sent_again", call=offer.call, stands=isinstance(known, Standing))
+        log_event("sent_again", call=offer.call, stands=isinstance(known, Standing))
         known.offer = offer
         return True
 
@@ -304,7 +304,7 @@
         exchange, standing = self.open.get(event.call), self.standing.get(event.call)
         if exchange is not None:
             if exchange.offer.caller.origin is event.caller.origin and exchange.withdraw():
-                record("withdrawn", call=event.call, attempts=exchange.attempts)
+                log_event("withdrawn", call=event.call, attempts=exchange.attempts)
                 self._drop(exchange)
         elif standing is not None and standing.offer.caller.origin is event.caller.origin:
             self._caller_released(event.call)  # it crossed the answer
@@ -327,7 +327,7 @@
     def _refuse_now(self, exchange: Exchange) -> None:
         """The core's own refusal, without asking the module; nothing where the answer has been given."""
         if exchange.refuse(self._come_back(), exchange.why):
-            record("refused", call=exchange.offer.call, why=exchange.why.value, by="core",
+            log_event("refused", call=exchange.offer.call, why=exchange.why.value, by="core",
                    attempts=exchange.attempts)  # fmt: skip
             self._drop(exchange)
 
@@ -395,7 +395,7 @@
         exchange.attempt = None
         if event.ending not in UNANSWERED:
             exchange.answered_ms[attempt.hub] = self.now
-        record("attempt_ended", call=attempt.offer.call, hub=attempt.hub, number=attempt.number,
+        log_event("attempt_ended", call=attempt.offer.call, hub=attempt.hub, number=attempt.number,
                ending=event.ending.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
         timed_out = event.ending is Ending.TIMED_OUT
         exchange.why = Why.TIMED_OUT if timed_out else WHY.get(event.reason, Why.TURNED_AWAY)
@@ -443,13 +443,13 @@
         exchange = self.open.get(event.call)
         if exchange is not None:
             current = exchange.attempt is not None and exchange.attempt.hub == event.hub
-            record("release_before_answer", call=event.call, hub=event.hub, current=current)
+            log_event("release_before_answer", call=event.call, hub=event.hub, current=current)
             if current:
                 exchange.released = event
         elif event.call in self.refused:
-            record("release_ignored", call=event.call, hub=event.hub)
+            log_event("release_ignored", call=event.call, hub=event.hub)
         else:
-            record("release_of_unknown", call=event.call, hub=event.hub, cause=event.cause)
+            log_event("release_of_unknown", call=event.call, hub=event.hub, cause=event.cause)
             self.released(event.call, event.cause)
 
     def _hub_died(self, hub: bytes, before_ms: float) -> None:
@@ -459,7 +459,7 @@
             if standing.attempt.hub == hub and standing.attempt.sent_ms < before_ms
         ]
         if cut:
-            say(f"{hub!r} is gone: {len(cut)} calls that stood there are released")
+            log_text(f"{hub!r} is gone: {len(cut)} calls that stood there are released")
         for call in cut:
             if call in self.standing:
                 self._hub_released(HubReleased(call, hub, CAUSE_CUT))
@@ -487,7 +487,7 @@
             case WakeAt(when, token):
                 self._at(when, Woken(token))
             case Say(text):
-                say(text)
+                log_text(text)
             case _:
                 pass  # the platform tells news by itself, and border controllers have no way to talk
 
@@ -498,7 +498,7 @@
             exchange.refuse(come_back, why or exchange.why)
             if attempt is not None:
                 exchange.not_before = self.now + self.set.release_ms
-            record("refused", call=exchange.offer.call, why=(why or exchange.why).value, by="module",
+            log_event("refused", call=exchange.offer.call, why=(why or exchange.why).value, by="module",
                    attempts=exchange.attempts, come_back_ms=come_back)  # fmt: skip
             self._forget(exchange)
             if attempt is not None:
@@ -510,7 +510,7 @@
             return
         objection = self.guard.objection(exchange, hub, self.now)
         if objection:
-            say(f"set-up of {exchange.offer.call} held back: {objection}")
+            log_text(f"set-up of {exchange.offer.call} held back: {objection}")
             self._module(AttemptEnded(number, hub, exchange.attempts, Ending.NOT_SENT, False, 0.0))
             return
         until = exchange.deadline_ms - LAST_MOMENT_MS
--- a/landingdeal/errors.py
+++ b/landingdeal/errors.py
@@ -9,9 +9,9 @@
     """The text is the one line that the program ends with."""
 
 
-def address(text: Any, what: str) -> tuple[str, int]:
+def parse_address(text: Any, setting: str) -> tuple[str, int]:
     """`host:port`, taken apart; raises ConfigError."""
     host, colon, port = str(text).rpartition(":")
     if not host or not colon or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ConfigError(f"{what} is not an address: {text!r}")
+        raise ConfigError(f"{setting} is not an address: {text!r}")
     return host, int(port)
--- a/landingdeal/log.py
+++ b/landingdeal/log.py
@@ -53,12 +53,12 @@
         print(f"{now / 1000:.3f} {text}{more}", file=sys.stderr, flush=True)
 
 
-def say(text: str) -> None:
+def log_text(text: str) -> None:
     """A line of free text."""
     _write(TEXT, text)
 
 
-def record(kind: str, **fields: object) -> None:
+def log_event(kind: str, **fields: object) -> None:
     """A line `kind name=value ...`. Kinds are few and fixed: each keeps a bucket."""
     _write(kind, " ".join([kind, *(f"{name}={_shown(value)}" for name, value in fields.items())]))
 
--- a/landingdeal/net/bus.py
+++ b/landingdeal/net/bus.py
@@ -12,10 +12,10 @@
 
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
-from landingdeal.log import record, say
+from landingdeal.log import log_event, log_text
 from landingdeal.net.config import TopologyEvent, topology_event
 from landingdeal.net.link import dial
-from landingdeal.threads import start_lasting_thread
+from landingdeal.threads import start_supervised_thread
 
 SILENCE_MS = 2200.0  # a comment arrives every second: after so long without one the connection is dead
 DIAL_MS = 500.0
@@ -39,7 +39,7 @@
         self.sock: socket.socket | None = None
 
     def start(self) -> None:
-        start_lasting_thread("bus", self._run)
+        start_supervised_thread("bus", self._run)
 
     def move(self, where: tuple[str, int], known: tuple[TopologyEvent, ...]) -> None:
         """A new configuration: the numbers go on, and what it knows already is not awaited from the bus.
@@ -55,14 +55,14 @@
             if self.sock is not None:
                 with contextlib.suppress(OSError):
                     self.sock.shutdown(socket.SHUT_RDWR)  # its reader sees the end, and closes it
-        say(f"event bus: from now on {where[0]}:{where[1]}")
+        log_text(f"event bus: from now on {where[0]}:{where[1]}")
 
     def _heed(self, event: TopologyEvent) -> None:
         with self.lock:  # held while it is told, so that two readers can't tell in the wrong order
             if event.offset > self.offset:
                 self.told(event)
                 self.offset = event.offset
-                record("event", number=event.offset, entries=len(event.addresses))
+                log_event("event", number=event.offset, entries=len(event.addresses))
 
     def _take(self, number: str, data: str) -> None:
         """One event as it came.
@@ -77,7 +77,7 @@
             self.unusable = number
             if not (again and _decimal(number)):
                 raise ValueError(f"event {number[:20]!r} can't be used: {error}") from None
-            record("event_passed_over", number=number, error=type(error).__name__)
+            log_event("event_passed_over", number=number, error=type(error).__name__)
             with self.lock:
                 self.offset = max(self.offset, int(number))
             return
@@ -97,7 +97,7 @@
                     with self.lock:
                         self.sock = None
             except (OSError, ValueError) as error:
-                say(f"event bus: {type(error).__name__} {error} (the last event was {self.offset})")
+                log_text(f"event bus: {type(error).__name__} {error} (the last event was {self.offset})")
             if where == self.where:
                 time.sleep(seconds_until(now_ms() + PAUSE_MS))
 
--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -12,7 +12,7 @@
 from landingdeal.core.broker import Inbox
 from landingdeal.core.events import CallerReleased, Unreadable, Why, Withdrawn
 from landingdeal.core.lifecycle import Idler, Lifecycle, may_go, spare
-from landingdeal.log import record
+from landingdeal.log import log_event
 from landingdeal.net.link import CallerLink, Door
 from landingdeal.net.set_up import offer_of
 from landingdeal.net.transaction import CallerTransaction
@@ -81,7 +81,7 @@
     def _accepted(self, sock: socket.socket) -> None:
         with self.lock:
             if len(self.links) >= self.links_limit:
-                record("caller_turned_away", connections=len(self.links))
+                log_event("caller_turned_away", connections=len(self.links))
                 sock.close()
                 return
             link = CallerLink(sock, self._message, self._ended, self._unreadable, self._owed)
@@ -137,7 +137,7 @@
                 del self.settled[key]
             again = [(c, k) for at, c, k, to in self.told if to is link and now_ms() - at < SETTLE_MS]
             self._settled()
-        record("caller_closed", link=link.number, why=link.why or ("reset" if reset else "by the caller"),
+        log_event("caller_closed", link=link.number, why=link.why or ("reset" if reset else "by the caller"),
                open=len(open_here), unsent=link.unsent())  # fmt: skip
         for call, caller in open_here.items():
             self.inbox.tell(Withdrawn(call, caller))
@@ -190,7 +190,7 @@
         with self.lock:
             known = call in self.links.get(link, {}) or (link, call) in self.settled
         if known:
-            record("repeated", call=call, link=link.number)
+            log_event("repeated", call=call, link=link.number)
         return known
 
     def _invite(self, link: CallerLink, message: Message) -> None:
@@ -210,7 +210,7 @@
             open_here[message.call_id] = caller
         steps.at(steps.TAKEN)
         if not self.inbox.offer(offer):  # guards against a caller left unanswered by a full inbox
-            record("refused", call=offer.call, by="front", closed=self.inbox.closed)
+            log_event("refused", call=offer.call, by="front", closed=self.inbox.closed)
             caller.refuse(self.later_ms, Why.TURNED_AWAY)
 
     def closed_set_up(self, caller: CallerTransaction) -> None:
@@ -236,7 +236,7 @@
                 while len(self.unheard) > UNHEARD_MOST:
                     self.unheard.popitem(last=False)
                 return
-            record("release", call=call, cause=cause, link=first.number)
+            log_event("release", call=call, cause=cause, link=first.number)
             self.told.append((now_ms(), call, cause, first))
             self._settled()
         bye = request("BYE", "sip:caller@net", ("via", self.via), ("call-id", call), ("cseq", "2 BYE"),
--- a/landingdeal/net/config.py
+++ b/landingdeal/net/config.py
@@ -8,7 +8,7 @@
 
 from badgerstile.interface import ExchangeList, Health, Listed, ListKind, Settings
 from badgerstile.wire import WireError, read_settings
-from landingdeal.errors import ConfigError, address
+from landingdeal.errors import ConfigError, parse_address
 
 HEALTH = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.GONE}
 
@@ -55,7 +55,7 @@
             came_up = float(row.get("since_ms") or 0.0)
             where = str(row.get("address") or "")
             if where:
-                address(where, "an endpoint")
+                parse_address(where, "an endpoint")
             elif health is not Health.GONE:
                 raise ConfigError(f"no address for {row['name']}")
             entries.append(Listed(name, int(row["group"]) if "group" in row else -1, health, came_up))
@@ -76,7 +76,7 @@
     if not isinstance(raw, dict):
         raise ConfigError("the configuration is not a JSON object")
     try:
-        host, port = address(raw["listen"], "listen")
+        host, port = parse_address(raw["listen"], "listen")
         known = raw.get("known") or {"offset": 0, "batch": []}
         return Config(
             name=str(raw.get("name", "")),
@@ -84,7 +84,7 @@
             port=port,
             seed=int(str(raw.get("seed", "0")) or "0", 16),
             sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
-            bus=address(raw["bus"], "bus"),
+            bus=parse_address(raw["bus"], "bus"),
             offset=int(known["offset"]),
             known=tuple(topology_event(event) for event in known["batch"]),
             settings=read_settings(json.dumps(raw["settings"]).encode()),
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -10,11 +10,11 @@
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.broker import Inbox
 from landingdeal.core.events import Attempt, Ended, GroupState, HubDied, HubReleased, Probed, Stood
-from landingdeal.log import record, say
+from landingdeal.log import log_event, log_text
 from landingdeal.net.link import HubLink, Link, dial
 from landingdeal.sip.headers import cause_of, figures_of, reason_header, reason_of
 from landingdeal.sip.message import BrokenFraming, Malformed, Message, request, response
-from landingdeal.threads import start_lasting_thread
+from landingdeal.threads import start_supervised_thread
 
 QUIET_MS = 2500.0  # a lab hub that has said nothing for so long is asked for a new connection
 MUTE_PART = 0.25  # of the shortest aim: or whose connection has said nothing so long after a set-up
@@ -104,7 +104,7 @@
         if cut:  # the reset was the end of its process after all
             self.inbox.tell(HubDied(name, cut))
         if keep:
-            start_lasting_thread("keeper", lambda: self._keep(hub))
+            start_supervised_thread("keeper", lambda: self._keep(hub))
 
     @staticmethod
     def _no_longer_waiting(hub: Hub) -> list[Attempt]:
@@ -129,7 +129,7 @@
                 time.sleep(seconds_until(now_ms() + WATCH_MS))
                 self.watch(now_ms())
 
-        start_lasting_thread("watch", watch)
+        start_supervised_thread("watch", watch)
 
     def watch(self, now: float) -> None:
         """Looks for lab hubs that say nothing.
@@ -168,7 +168,9 @@
             for link in spare:
                 link.end("replaced, or gone and silent")
             if died:
-                say(f"{hub.name!r} has said nothing for {silent / 1000:.1f} s: its calls are taken as over")
+                log_text(
+                    f"{hub.name!r} has said nothing for {silent / 1000:.1f} s: its calls are taken as over"
+                )
                 self.inbox.tell(HubDied(hub.name, now))
             if over:  # guards the memory and the threads on days when each lab hub is a new one
                 with self.lock:
@@ -210,7 +212,7 @@
                 sock = dial(hub.host, hub.port, until)
             except OSError as error:
                 refused = not isinstance(error, TimeoutError)
-                say(f"no connection to {hub.name!r}: {error}")
+                log_text(f"no connection to {hub.name!r}: {error}")
                 with hub.wake:
                     now = now_ms()
                     hub.refused = hub.refused + 1 if refused else 0
@@ -259,7 +261,7 @@
             raise
         if late:  # it took a while to come back: another process
             self.inbox.tell(HubDied(hub.name, late))
-        say(f"connected to {hub.name!r}")
+        log_text(f"connected to {hub.name!r}")
         for attempt in lost:
             self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
 
@@ -276,7 +278,7 @@
             if reset and not doubted:
                 hub.reset_ms = hub.cut_ms = before
         how = "reset" if reset else f"closed: {link.why}" if link.why else "closed"
-        say(f"connection to {hub.name!r} ended ({how}, {len(cut)} set-ups open)")
+        log_text(f"connection to {hub.name!r} ended ({how}, {len(cut)} set-ups open)")
         for attempt in cut:
             # given up with its connection, which proves nothing of its lab hub: one that is gone refuses the
             # next. Guards against trying a healthy hub one call at a time, and pacing it as if newly started
@@ -289,7 +291,7 @@
 
         Guards against a machine that vanished or was cut off: its connections stay open and say nothing.
         """
-        say(f"connection to {hub.name!r} is silent; a new one is tried")
+        log_text(f"connection to {hub.name!r} is silent; a new one is tried")
         hub.link = None
         hub.wake.notify()
 
@@ -424,7 +426,7 @@
         with hub.wake:
             here = hub.open.get(link, {})
             if call not in here and call not in link.given_up:
-                record("answer_ignored", call=call, hub=hub.name, status=message.status)
+                log_event("answer_ignored", call=call, hub=hub.name, status=message.status)
                 return  # a second copy, or of an id that is not ours: what stands is not touched by it
             if message.status < 300 and not is_description(message.body):
                 # its set-up stays open here, and ends with the connection
--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -19,9 +19,9 @@
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core import steps
 from landingdeal.core.lifecycle import Held
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.sip.message import BrokenFraming, Framer, Malformed, Message, Oversize, encode
-from landingdeal.threads import start_lasting_thread, start_thread
+from landingdeal.threads import start_supervised_thread, start_thread
 
 FOREVER = float("inf")
 TCP_CLOSED = 7  # the state after a reset; after an orderly end of the peer it is CLOSE_WAIT, 8
@@ -342,7 +342,7 @@
         self.listener.listen(512)
         self.listener.setblocking(False)
         self.bell = os.eventfd(0, os.EFD_NONBLOCK)
-        start_lasting_thread("accept", self._run)
+        start_supervised_thread("accept", self._run)
 
     def wake(self) -> None:
         """From any thread: `accepts` may have changed."""
@@ -379,5 +379,5 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 self.on_socket(sock)
             except Exception as error:  # guards all later ones against what goes wrong with this one
-                say(f"a connection could not be taken: {type(error).__name__} {error}")
+                log_text(f"a connection could not be taken: {type(error).__name__} {error}")
                 sock.close()
--- a/landingdeal/net/transaction.py
+++ b/landingdeal/net/transaction.py
@@ -9,7 +9,7 @@
 
 from landingdeal.core import steps
 from landingdeal.core.events import Why
-from landingdeal.log import record
+from landingdeal.log import log_event
 from landingdeal.net.link import CallerLink
 from landingdeal.sip.message import Message, response
 
@@ -77,7 +77,7 @@
     def _final(self, made: Callable[[], Message], stands: bool = False) -> None:
         """Queued before the set-up counts as closed: in between, the connection would look idle."""
         if not self._move(State.DECIDED, State.OPEN):
-            record("answer_dropped", call=self.invite.call_id, state=self._state.value)
+            log_event("answer_dropped", call=self.invite.call_id, state=self._state.value)
             return
         steps.at(steps.ANSWERED)
         if stands:
@@ -90,7 +90,7 @@
         """Asked by the writer: whether the answer still goes out."""
         if self._move(State.WRITTEN, State.DECIDED):
             return True
-        record("answer_dropped", call=self.invite.call_id, state=self._state.value)
+        log_event("answer_dropped", call=self.invite.call_id, state=self._state.value)
         return False
 
     def release(self, cause: int) -> None:
--- a/landingdeal/operator.py
+++ b/landingdeal/operator.py
@@ -21,14 +21,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     contracts: tuple[Contract, ...] = ()
     sip: SipConfig | None = None
     settings: Settings | None = None
     capture: CaptureSettings | None = None
 
 
-def read_operator(text: str, platform: bool = False) -> Operator:
+def parse_operator_config(text: str, on_platform: bool = False) -> OperatorConfig:
     """Raises ConfigError with one line that says what is wrong. On the platform only the contracts count."""
     try:
         raw = tomllib.loads(text)
@@ -40,8 +40,8 @@
     try:
         contracts = read_contracts(raw.get("contract", []))
         sip = raw.get("sip", {})
-        if platform or not sip.get("enabled", False):
-            return Operator(contracts)
+        if on_platform or not sip.get("enabled", False):
+            return OperatorConfig(contracts)
         return _with_sip(contracts, sip, raw["settings"])
     except KeyError as error:
         raise ConfigError(f"the operator's file lacks {error}") from None
@@ -49,12 +49,12 @@
         raise ConfigError(f"the operator's file holds a value that can't be used: {error}") from None
 
 
-def _with_sip(contracts: tuple[Contract, ...], sip: dict[str, Any], told: Any) -> Operator:
+def _with_sip(contracts: tuple[Contract, ...], sip: dict[str, Any], raw_settings: Any) -> OperatorConfig:
     from badgerstile.wire import WireError, read_settings
     from landingdeal.sip.config import read_sip
 
     try:
-        settings = read_settings(json.dumps(told).encode())
+        settings = read_settings(json.dumps(raw_settings).encode())
     except WireError as error:
         raise ConfigError(f"the operator's file: {error}") from None
     capture = None
@@ -62,4 +62,4 @@
         from landingdeal.capture.settings import read_capture
 
         capture = read_capture(sip["capture"])
-    return Operator(contracts, read_sip(sip, settings), settings, capture)
+    return OperatorConfig(contracts, read_sip(sip, settings), settings, capture)
--- a/landingdeal/service/life.py
+++ b/landingdeal/service/life.py
@@ -12,9 +12,9 @@
 from landingdeal.core.events import Stop
 from landingdeal.core.lifecycle import Phase
 from landingdeal.errors import ConfigError
-from landingdeal.log import record, say
+from landingdeal.log import log_event, log_text
 from landingdeal.service.signals import Signals
-from landingdeal.threads import READY_MS, start_thread
+from landingdeal.threads import START_TIMEOUT_MS, start_thread
 
 LOOK_MS = 10.0  # between looks at what is still to be written when the core has ended
 
@@ -23,20 +23,20 @@
     """A file that cannot be used changes nothing, and ends nothing."""
     try:
         reread()
-        say("the configuration was read again")
+        log_text("the configuration was read again")
     except (ConfigError, OSError, UnicodeDecodeError) as error:
-        say(f"the old configuration stays: {error}")
+        log_text(f"the old configuration stays: {error}")
     except Exception:
-        say("the old configuration stays: it could not be carried out")
+        log_text("the old configuration stays: it could not be carried out")
         traceback.print_exc(file=sys.stderr)
 
 
 def run(broker: Broker, flush: Callable[[], int], signals: Signals, reread: Callable[[], None]) -> None:
     """Until SIGTERM, then until every call has its answer and `flush` counts nothing left to be written."""
     life = broker.life
-    life.watchers.append(lambda: record("phase", now=life.phase.name))
+    life.watchers.append(lambda: log_event("phase", now=life.phase.name))
     signals.carry_out(lambda at_ms: broker.inbox.tell(Stop(at_ms)), lambda: reload(reread))
-    core = start_thread("core", broker.run, READY_MS)
+    core = start_thread("core", broker.run, START_TIMEOUT_MS)
     while core.is_alive():
         core.join(1.0)
     life.core_gone(now_ms())
@@ -46,4 +46,4 @@
         if life.phase is Phase.ENDED:
             break
         time.sleep(seconds_until(now_ms() + LOOK_MS))
-    say(f"stopped{f', {left} connections not idle' if left else ''}")
+    log_text(f"stopped{f', {left} connections not idle' if left else ''}")
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -17,7 +17,7 @@
 from landingdeal.net.hubs import Hubs
 from landingdeal.service.life import run
 from landingdeal.service.signals import Signals
-from landingdeal.threads import start_lasting_thread
+from landingdeal.threads import start_supervised_thread
 
 READY_MS = 1000.0  # a test is passed once all lab hubs are connected, at the latest so long after the start
 
@@ -30,9 +30,9 @@
     """What counts here of the operator's file; without one its reader is not even imported."""
     if not where:
         return ()
-    from landingdeal.operator import read_operator
+    from landingdeal.operator import parse_operator_config
 
-    return read_operator(Path(where).read_text(encoding="utf-8"), platform=True).contracts
+    return parse_operator_config(Path(where).read_text(encoding="utf-8"), on_platform=True).contracts
 
 
 def serve(path: str, where: str, signals: Signals) -> None:
@@ -66,5 +66,5 @@
         inbox.tell(Budgets(budgets))
 
     bus.start()
-    start_lasting_thread("ready", ready)
+    start_supervised_thread("ready", ready)
     run(broker, callers.flush, signals, reread)
--- a/landingdeal/service/signals.py
+++ b/landingdeal/service/signals.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from landingdeal.clock import now_ms
-from landingdeal.log import record
-from landingdeal.threads import start_lasting_thread
+from landingdeal.log import log_event
+from landingdeal.threads import start_supervised_thread
 
 STOPS = (signal.SIGTERM, signal.SIGINT)
 
@@ -41,10 +41,10 @@
         def work() -> None:
             while True:
                 came = self._came.get()
-                record("signal", number=came.number)
+                log_event("signal", number=came.number)
                 if came.number in STOPS:
                     stop(came.at_ms)
                 else:
                     reread()
 
-        start_lasting_thread("signals", work)
+        start_supervised_thread("signals", work)
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -14,8 +14,8 @@
 from landingdeal.core.events import Budgets, News
 from landingdeal.core.lifecycle import Lifecycle, times_before_kill
 from landingdeal.errors import ConfigError
-from landingdeal.log import say
-from landingdeal.operator import Operator, read_operator
+from landingdeal.log import log_text
+from landingdeal.operator import OperatorConfig, parse_operator_config
 from landingdeal.service.life import run
 from landingdeal.service.signals import Signals
 from landingdeal.sip.capture import Capture
@@ -25,8 +25,8 @@
 RELEASES_MS = 2000.0  # for the SIP front's last releases to be answered
 
 
-def read_operator_file(where: str) -> Operator:
-    return read_operator(Path(where).read_text(encoding="utf-8")) if where else Operator()
+def read_operator_file(where: str) -> OperatorConfig:
+    return parse_operator_config(Path(where).read_text(encoding="utf-8")) if where else OperatorConfig()
 
 
 def serve(where: str, signals: Signals) -> None:
@@ -37,7 +37,7 @@
     _serve(operator, where, signals)
 
 
-def _serve(operator: Operator, where: str, signals: Signals) -> None:
+def _serve(operator: OperatorConfig, where: str, signals: Signals) -> None:
     assert operator.sip is not None and operator.settings is not None
     longest = max(kind.deadline_ms for kind in operator.settings.classes)
     inbox, life = Inbox(), Lifecycle(times_before_kill(longest, RELEASES_MS))
@@ -51,7 +51,7 @@
     listed = tuple(Listed(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
     inbox.tell(News(ExchangeList(ListKind.REMEMBERED, listed)))
     front.start(capture)
-    say(f"SIP front on {operator.sip.host}:{operator.sip.port}, UDP and TCP")
+    log_text(f"SIP front on {operator.sip.host}:{operator.sip.port}, UDP and TCP")
     run(broker, front.flush, signals, lambda: inbox.tell(Budgets(read_operator_file(where).contracts)))
     if sink is not None:
         sink.end(now_ms() + SINK_MS)
--- a/landingdeal/sip/capture.py
+++ b/landingdeal/sip/capture.py
@@ -12,7 +12,7 @@
 from landingdeal.capture.reader import Reading, read
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.sip.message import Message
 from landingdeal.sip.transport import Received, Tap
 
@@ -69,7 +69,7 @@
         if elsewhere:
             told["to another port"] = elsewhere
         rest = ", ".join(f"{count} {what}" for what, count in sorted(told.items())) or "nothing"
-        say(f"capture: {taken} messages taken up; passed over: {rest}")
+        log_text(f"capture: {taken} messages taken up; passed over: {rest}")
 
     def _all(self) -> Iterator[Seen]:
         if self.first is not None:
--- a/landingdeal/sip/config.py
+++ b/landingdeal/sip/config.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 from badgerstile.interface import Settings
-from landingdeal.errors import ConfigError, address
+from landingdeal.errors import ConfigError, parse_address
 from landingdeal.sip.call import HubPlace, SipConfig
 from landingdeal.sip.transaction import Timing
 
 
 def ip_address(text: Any, what: str) -> tuple[str, int]:
     """No name: nothing here may wait for a look-up."""
-    host, port = address(text, what)
+    host, port = parse_address(text, what)
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -24,7 +24,7 @@
     Withdrawn,
 )
 from landingdeal.core.lifecycle import Lifecycle
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
 from landingdeal.sip.call import Call, HubPlace, Leg, Side, SipCaller, SipConfig
 from landingdeal.sip.capture import Capture, CaptureFlow
@@ -262,7 +262,7 @@
         def lost() -> None:
             if side.unacked == number and not side.dialog.over:
                 side.unacked = -1
-                say(f"call {side.call.key}: a 2xx was never acknowledged")
+                log_text(f"call {side.call.key}: a 2xx was never acknowledged")
                 self._drop_call(side.call, CAUSE_CUT, None)
 
         again(self.timing.t1)
@@ -649,7 +649,7 @@
             lost = message.status in (408, 481) or not message.get("via")
             if lost and not side.dialog.over:
                 who = "caller" if side.caller else "lab hub"
-                say(f"call {side.call.key}: the {who} can't be reached any more")
+                log_text(f"call {side.call.key}: the {who} can't be reached any more")
                 self._drop_call(side.call, CAUSE_CUT, side)
 
         flow = self._flow_for(side.dialog)
--- a/landingdeal/sip/transport.py
+++ b/landingdeal/sip/transport.py
@@ -10,7 +10,7 @@
 
 from landingdeal.clock import now_ms
 from landingdeal.core.lifecycle import Lifecycle
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.net.link import Door, Link, dial
 from landingdeal.sip.message import MAX_MESSAGE, Malformed, Message, decode_datagram, encode
 from landingdeal.sip.transaction import Flow
@@ -57,7 +57,7 @@
         try:
             self.sock.sendto(encode(message), socket.MSG_DONTWAIT, (self.host, self.port))
         except OSError as error:  # a datagram may get lost; the transaction sends it again
-            say(f"{self.name}: {error}")
+            log_text(f"{self.name}: {error}")
 
 
 class TcpFlow:
@@ -198,7 +198,7 @@
                 continue  # an ICMP error of an earlier datagram
             if len(data) > MAX_MESSAGE:
                 self.oversize += 1
-                say(f"UDP {host}:{port}: {len(data)} bytes are over 16 KiB ({self.oversize} so far)")
+                log_text(f"UDP {host}:{port}: {len(data)} bytes are over 16 KiB ({self.oversize} so far)")
             elif data.strip(b"\r\n\0"):  # keep-alives are empty
                 message = decode_datagram(data)
                 if self.tap is not None and isinstance(message, Message):
--- a/landingdeal/threads.py
+++ b/landingdeal/threads.py
@@ -9,44 +9,44 @@
 from collections.abc import Callable
 
 from landingdeal.clock import now_ms, seconds_until
-from landingdeal.log import record
+from landingdeal.log import log_event
 
-STACK = 256 * 1024
-AGAIN_MS = 100.0  # before work that failed is begun again
-READY_MS = 20_000.0  # for threads that a process cannot do without: it has 30 s to be ready
+STACK_BYTES = 256 * 1024
+RETRY_DELAY_MS = 100.0  # before work that failed is begun again
+START_TIMEOUT_MS = 20_000.0  # for threads that a process cannot do without: it has 30 s to be ready
 
 
-def start_thread(name: str, work: Callable[[], None], patience_ms: float = 0.0) -> threading.Thread:
+def start_thread(name: str, work: Callable[[], None], retry_for_ms: float = 0.0) -> threading.Thread:
     """Where the system has no thread left it tries again for so long, and then raises RuntimeError."""
-    until = now_ms() + patience_ms
+    deadline_ms = now_ms() + retry_for_ms
     while True:
-        threading.stack_size(STACK)
+        threading.stack_size(STACK_BYTES)
         thread = threading.Thread(target=work, name=name, daemon=True)
         try:
             thread.start()
             return thread
         except RuntimeError as error:
-            record("thread_refused", name=name, error=error)
-            if now_ms() >= until:
+            log_event("thread_refused", name=name, error=error)
+            if now_ms() >= deadline_ms:
                 raise
-        time.sleep(seconds_until(min(now_ms() + AGAIN_MS, until)))
+        time.sleep(seconds_until(min(now_ms() + RETRY_DELAY_MS, deadline_ms)))
 
 
-def start_lasting_thread(name: str, work: Callable[[], None]) -> None:
+def start_supervised_thread(name: str, work: Callable[[], None]) -> None:
     """For work that nothing else would take over: it is begun again after an exception, until it returns."""
 
-    def lasting() -> None:
-        while not _returned(name, work):
-            time.sleep(seconds_until(now_ms() + AGAIN_MS))
+    def run_until_return() -> None:
+        while not _runs_to_end(name, work):
+            time.sleep(seconds_until(now_ms() + RETRY_DELAY_MS))
 
-    start_thread(name, lasting, READY_MS)
+    start_thread(name, run_until_return, START_TIMEOUT_MS)
 
 
-def _returned(name: str, work: Callable[[], None]) -> bool:
+def _runs_to_end(name: str, work: Callable[[], None]) -> bool:
     try:
         work()
     except Exception as error:
-        record("thread_failed", name=name, error=f"{type(error).__name__} {error}")
+        log_event("thread_failed", name=name, error=f"{type(error).__name__} {error}")
         traceback.print_exc(file=sys.stderr)
         return False
     return True
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -30,7 +30,7 @@
 from landingdeal.net.link import QUEUE_MOST, CallerLink, HubLink, Link
 from landingdeal.net.transaction import CallerTransaction
 from landingdeal.sip.message import Message, encode, request
-from landingdeal.threads import start_lasting_thread, start_thread
+from landingdeal.threads import start_supervised_thread, start_thread
 from tests.scenario import ROOT, SETTINGS, Platform, play
 
 SCENARIOS = {
@@ -693,7 +693,7 @@
         if tries.qsize() < 3:
             raise RuntimeError("on purpose")
 
-    start_lasting_thread("test", work)
+    start_supervised_thread("test", work)
     until = now_ms() + 5000
     while tries.qsize() < 3 and now_ms() < until:
         time.sleep(0.01)
@@ -764,7 +764,7 @@
 
     monkeypatch.setattr(threading.Thread, "start", refused)
     done = threading.Event()
-    start_lasting_thread("test", done.set)
+    start_supervised_thread("test", done.set)
     assert done.wait(5) and len(tries) == 4
     tries.clear()
     with pytest.raises(RuntimeError):
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -11,7 +11,7 @@
 from landingdeal.core.broker import Inbox
 from landingdeal.core.events import Attempt, Offer, Withdrawn
 from landingdeal.lab.ports import free_port
-from landingdeal.operator import read_operator
+from landingdeal.operator import parse_operator_config
 from landingdeal.sip.front import SipFront
 from tests.scenario import PATIENCE_S, play
 from tests.scenario_sip import Party, SipStage, operator_file
@@ -323,7 +323,7 @@
     def __init__(self, transport: str) -> None:
         self.transport, self.port = transport, free_port()
         self.parties = {"hub1": Party("hub1", transport)}
-        operator = read_operator(operator_file(self.port, self.parties))
+        operator = parse_operator_config(operator_file(self.port, self.parties))
         assert operator.sip is not None and operator.settings is not None
         self.inbox = Inbox()
         self.front = SipFront(operator.sip, operator.settings, self.inbox, 1)
