--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -35,82 +35,84 @@
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.contracts import Contracts
 from landingdeal.core.events import (
-    Arrival,
     Attempt,
-    Budgets,
+    AttemptEstablished,
+    AttemptFailed,
     CallerReleased,
-    Ended,
-    GroupState,
-    HubDied,
+    CallerStreamBroken,
+    ContractsChanged,
+    CoreEvent,
+    HubClient,
+    HubFailed,
+    HubListChanged,
     HubReleased,
-    HubSide,
-    News,
+    LoadReported,
     Offer,
-    Probed,
-    Stood,
-    Stop,
-    Unreadable,
-    Why,
-    Withdrawn,
+    ProbeCompleted,
+    RefusalReason,
+    SetUpCancelled,
+    StopRequested,
 )
-from landingdeal.core.exchange import Exchange, Standing
+from landingdeal.core.exchange import EstablishedCall, PendingCall
 from landingdeal.core.guard import Guard
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import log_event, log_text
 
-INBOX_MOST = 4096  # set-ups above this are refused by the front at once
+MAX_INBOX_SIZE = 4096  # set-ups above this are refused by the front at once
 OPEN_MOST = 4000  # calls waiting for an answer
 STANDING_MOST = 20000  # above this the one that has stood longest is no longer followed
 SENT_AGAIN_MS = 1500.0  # after its answer, a set-up may come again whose connection has ended
-SECOND_ANSWER_MS = 50.0  # a lab hub's answer may come twice: until then none is out there that could be meant
+DUPLICATE_ANSWER_MS = (
+    50.0  # a lab hub's answer may come twice: until then none is out there that could be meant
+)
 REFUSED_MOST = 4096  # calls that ended without standing and are still known
 BATCH_MOST = 256
 LAST_MOMENT_MS = 30.0  # before a call's deadline the core answers by itself if the module has not
 RELEASE_MARGIN_MS = 10.0  # a release counts from where it arrives, which is later than where it was decided
 PROBE_WAIT_MS = 250.0  # a probe without an answer by then has failed
-CAUSE_CUT = 41  # the call was cut; 16 is an ordinary end
+CAUSE_CALL_CUT = 41  # the call was cut; 16 is an ordinary end
 UNANSWERED = (Ending.TIMED_OUT, Ending.UNREACHABLE)  # no lab hub said so
-WHY = {Reason.LINES_BUSY: Why.BUSY}
+WHY = {Reason.LINES_BUSY: RefusalReason.BUSY}
 
 LOOK_MS = 20.0  # while the program is ending
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class DelayedAttempt:
     """An attempt that is decided and goes out a little later."""
 
     attempt: Attempt
 
 
-Timer = Attempt | Held | Woken | str
+Timer = Attempt | DelayedAttempt | Woken | str
 
 
 class Inbox:
     """The only way into the core. Set-ups are turned away when it is full; other news waits for room."""
 
     def __init__(self) -> None:
-        self.queue: queue.Queue[Arrival] = queue.Queue(INBOX_MOST * 2)
-        self.own: deque[Arrival] = deque()
+        self.queue: queue.Queue[CoreEvent] = queue.Queue(MAX_INBOX_SIZE * 2)
+        self.own: deque[CoreEvent] = deque()
         self.closed = False
 
     def offer(self, offer: Offer) -> bool:
         """False: the inbox is full, or the core has ended; the caller has to be refused where it stands."""
-        if self.closed or self.queue.qsize() >= INBOX_MOST:
+        if self.closed or self.queue.qsize() >= MAX_INBOX_SIZE:
             return False
         self.queue.put(offer)
         return True
 
-    def tell(self, event: Arrival) -> None:
+    def tell(self, event: CoreEvent) -> None:
         self.queue.put(event)
 
-    def soon(self, event: Arrival) -> None:
+    def soon(self, event: CoreEvent) -> None:
         """For the core's own thread, which must not wait for room: it alone makes room."""
         self.own.append(event)
 
     def size(self) -> int:
         return len(self.own) + self.queue.qsize()
 
-    def take(self, until_ms: float) -> Iterator[Arrival]:
+    def take(self, until_ms: float) -> Iterator[CoreEvent]:
         """Waits until something comes or `until_ms`; then all that is there, up to a batch."""
         waits = not self.own
         while self.own:
@@ -132,7 +134,7 @@
         settings: Settings,
         seed: int,
         inbox: Inbox,
-        hubs: HubSide,
+        hubs: HubClient,
         released: Callable[[str, int], None],
         contracts: Contracts | None = None,
         life: Lifecycle | None = None,
@@ -148,9 +150,9 @@
         self.kinds = {kind.name: index for index, kind in enumerate(settings.classes)}
         self.numbers = itertools.count(1)
         self.listed: set[int] = set()  # numbers that a lab hub has or had
-        self.open: dict[str, Exchange] = {}
-        self.by_number: dict[int, Exchange] = {}
-        self.standing: dict[str, Standing] = {}
+        self.open: dict[str, PendingCall] = {}
+        self.by_number: dict[int, PendingCall] = {}
+        self.standing: dict[str, EstablishedCall] = {}
         # the last calls that ended without standing, and until when none may be sent under their ids
         self.refused: OrderedDict[str, float] = OrderedDict()
         self.timers: list[tuple[float, int, Timer]] = []
@@ -179,12 +181,12 @@
             self._safely(heapq.heappop(self.timers)[2])
         if not self.life.well:
             # guards against what the kill would find unanswered
-            if self.life.core_looks(len(self.open), self.inbox.size(), self.now):
+            if self.life.check_core(len(self.open), self.inbox.size(), self.now):
                 for exchange in list(self.open.values()):
                     self._refuse_now(exchange)
             self.inbox.closed = not self.life.takes
 
-    def _safely(self, event: Arrival | Timer) -> None:
+    def _safely(self, event: CoreEvent | Timer) -> None:
         try:
             self._one(event)
         except Exception:  # guards the other calls: one event that goes wrong must not end the program
@@ -192,51 +194,51 @@
             if isinstance(event, Offer):
                 exchange = self.open.get(event.call)
                 if exchange is not None and exchange.attempt is None:
-                    exchange.refuse(self._come_back(), Why.FAILED)
+                    exchange.refuse(self._come_back(), RefusalReason.FAILED)
                     self._forget(exchange)
 
     def _at(self, when: float, what: Timer) -> None:
         heapq.heappush(self.timers, (when, next(self.order), what))
 
-    def _one(self, event: Arrival | Timer) -> None:
+    def _one(self, event: CoreEvent | Timer) -> None:
         match event:
             case Offer():
                 self._offered(event)
-            case Withdrawn():
+            case SetUpCancelled():
                 self._withdrawn(event)
-            case Unreadable(call, caller):
+            case CallerStreamBroken(call, caller):
                 exchange = self.open.get(call)
                 if exchange is not None and exchange.offer.caller.origin is caller.origin:
                     self._refuse_now(exchange)
-            case Stood():
+            case AttemptEstablished():
                 self._stood(event)
-            case Ended():
+            case AttemptFailed():
                 self._ended(event)
             case HubReleased():
                 self._hub_released(event)
             case CallerReleased(call):
                 self._caller_released(call)
-            case HubDied(hub, before):
+            case HubFailed(hub, before):
                 self._hub_died(hub, before)
-            case GroupState(hub, figures):
+            case LoadReported(hub, figures):
                 self._module(Report(hub, False, True, 0.0, figures))
-            case Probed(hub, well, latency, figures):
+            case ProbeCompleted(hub, well, latency, figures):
                 self._heard(hub, figures)
                 self._module(Report(hub, True, well, latency, figures))
-            case News(change):
+            case HubListChanged(change):
                 self.listed.update(entry.number for entry in change.entries)
                 self.guard.news(change)
                 self._module(change)
                 for entry in change.entries:  # what stood before its process started is over
                     if entry.came_up_ms > 0:
                         self._hub_died(entry.exchange, entry.came_up_ms)
-            case Budgets(contracts):
+            case ContractsChanged(contracts):
                 self.contracts.replace(contracts, self.now)
-            case Stop(asked_ms):
+            case StopRequested(asked_ms):
                 self.life.stop(asked_ms)
             case Attempt():
                 self._attempt_due(event)
-            case Held(attempt):
+            case DelayedAttempt(attempt):
                 if self._current(attempt) is not None:
                     self.hubs.set_up(attempt)
             case Woken():
@@ -250,19 +252,21 @@
         again = self.open.get(offer.call)
         if self._sent_again(offer, again or self.standing.get(offer.call)):
             return
-        exchange = Exchange(offer, next(self.numbers))
+        exchange = PendingCall(offer, next(self.numbers))
         if again is not None or offer.call in self.standing:
             # guards against whoever uses the id of another's call: it would be told that call's answer
-            exchange.refuse(0.0, Why.FAILED)
+            exchange.refuse(0.0, RefusalReason.FAILED)
             return
         kind = self.kinds.get(offer.class_name)
         team_later = self.contracts.admit(offer.team, offer.class_name, offer.call, self.now)
         if kind is None or offer.destination not in self.listed:
-            exchange.refuse(0.0, Why.FAILED)  # guards the module's tables against numbers that no hub had
+            exchange.refuse(
+                0.0, RefusalReason.FAILED
+            )  # guards the module's tables against numbers that no hub had
         elif team_later > 0:
             exchange.refuse(team_later)
         elif team_later < 0:
-            exchange.refuse(0.0, Why.FORBIDDEN)
+            exchange.refuse(0.0, RefusalReason.FORBIDDEN)
         elif len(self.open) >= OPEN_MOST or self.now >= offer.deadline_ms - LAST_MOMENT_MS:
             exchange.refuse(self._come_back())
         elif self.now < self.refused.get(offer.call, 0.0):
@@ -287,19 +291,19 @@
             )
         )
 
-    def _sent_again(self, offer: Offer, known: Exchange | Standing | None) -> bool:
+    def _sent_again(self, offer: Offer, known: PendingCall | EstablishedCall | None) -> bool:
         """A set-up whose connection has ended and that comes on a new one: its answer goes there."""
         if known is None or not offer.same_call(known.offer) or known.offer.caller.reachable():
             return False
-        if isinstance(known, Standing):
+        if isinstance(known, EstablishedCall):
             if self.now - known.since_ms > SENT_AGAIN_MS:
                 return False
             offer.caller.answer(known.description)
-        log_event("sent_again", call=offer.call, stands=isinstance(known, Standing))
+        log_event("sent_again", call=offer.call, stands=isinstance(known, EstablishedCall))
         known.offer = offer
         return True
 
-    def _withdrawn(self, event: Withdrawn) -> None:
+    def _withdrawn(self, event: SetUpCancelled) -> None:
         # guards against whoever gives up a set-up under the id of another's call
         exchange, standing = self.open.get(event.call), self.standing.get(event.call)
         if exchange is not None:
@@ -324,14 +328,14 @@
             return
         self._refuse_now(exchange)
 
-    def _refuse_now(self, exchange: Exchange) -> None:
+    def _refuse_now(self, exchange: PendingCall) -> None:
         """The core's own refusal, without asking the module; nothing where the answer has been given."""
         if exchange.refuse(self._come_back(), exchange.why):
             log_event("refused", call=exchange.offer.call, why=exchange.why.value, by="core",
                    attempts=exchange.attempts)  # fmt: skip
             self._drop(exchange)
 
-    def _drop(self, exchange: Exchange) -> None:
+    def _drop(self, exchange: PendingCall) -> None:
         """The call is over for its caller: an attempt still out is called off."""
         attempt = exchange.attempt
         if attempt is not None:
@@ -345,7 +349,7 @@
                              self.now - attempt.sent_ms)
             )  # fmt: skip
 
-    def _forget(self, exchange: Exchange) -> None:
+    def _forget(self, exchange: PendingCall) -> None:
         self.open.pop(exchange.offer.call, None)
         self.by_number.pop(exchange.number, None)
         exchange.attempt = None
@@ -360,11 +364,11 @@
 
     # --- lab hubs ---
 
-    def _current(self, attempt: Attempt) -> Exchange | None:
+    def _current(self, attempt: Attempt) -> PendingCall | None:
         exchange = self.open.get(attempt.offer.call)
         return exchange if exchange is not None and exchange.attempt is attempt else None
 
-    def _stood(self, event: Stood) -> None:
+    def _stood(self, event: AttemptEstablished) -> None:
         attempt, call = event.attempt, event.attempt.offer.call
         exchange = self._current(attempt)
         if exchange is None:  # it crossed our giving up: what stands there for nobody is released
@@ -379,14 +383,14 @@
             oldest = next(iter(self.standing))
             del self.standing[oldest]
             self.contracts.ended(oldest)
-        self.standing[call] = Standing(exchange, attempt, event.description, self.now)
+        self.standing[call] = EstablishedCall(exchange, attempt, event.description, self.now)
         exchange.answer(event.description)
         self._forget(exchange)
         self._module(CallStands(exchange.number, attempt.hub, attempt.number, self.now - attempt.sent_ms))
         if exchange.released is not None:
             self._hub_released(exchange.released)
 
-    def _ended(self, event: Ended) -> None:
+    def _ended(self, event: AttemptFailed) -> None:
         attempt = event.attempt
         exchange = self._current(attempt)
         self._heard(attempt.hub, event.report)
@@ -398,7 +402,9 @@
         log_event("attempt_ended", call=attempt.offer.call, hub=attempt.hub, number=attempt.number,
                ending=event.ending.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
         timed_out = event.ending is Ending.TIMED_OUT
-        exchange.why = Why.TIMED_OUT if timed_out else WHY.get(event.reason, Why.TURNED_AWAY)
+        exchange.why = (
+            RefusalReason.TIMED_OUT if timed_out else WHY.get(event.reason, RefusalReason.UNAVAILABLE)
+        )
         if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
             exchange.not_before = self.now + self.set.release_ms
         self._module(
@@ -410,9 +416,9 @@
         if self._current(attempt) is not None:
             # guards the module against taking a connection that fell silent for a processor that is slow
             mute = self.hubs.cancel(attempt)
-            self._ended(Ended(attempt, Ending.CANCELLED if mute else Ending.TIMED_OUT))
+            self._ended(AttemptFailed(attempt, Ending.CANCELLED if mute else Ending.TIMED_OUT))
 
-    def _end_of(self, standing: Standing, ending: Ending, report: tuple[float, ...] = ()) -> Event:
+    def _end_of(self, standing: EstablishedCall, ending: Ending, report: tuple[float, ...] = ()) -> Event:
         attempt = standing.attempt
         return AttemptEnded(
             standing.number,
@@ -435,7 +441,7 @@
         del self.standing[event.call]
         self.contracts.ended(event.call)
         standing.offer.caller.release(event.cause)
-        ending = Ending.CUT if event.cause == CAUSE_CUT else Ending.ENDED
+        ending = Ending.CUT if event.cause == CAUSE_CALL_CUT else Ending.ENDED
         self._module(self._end_of(standing, ending, event.report))
 
     def _released_without_standing(self, event: HubReleased) -> None:
@@ -462,7 +468,7 @@
             log_text(f"{hub!r} is gone: {len(cut)} calls that stood there are released")
         for call in cut:
             if call in self.standing:
-                self._hub_released(HubReleased(call, hub, CAUSE_CUT))
+                self._hub_released(HubReleased(call, hub, CAUSE_CALL_CUT))
 
     def _heard(self, hub: bytes, figures: tuple[float, ...]) -> None:
         if 0 <= self.room_at < len(figures):
@@ -481,7 +487,7 @@
             case Refuse(number, come_back):
                 self._refuse(number, come_back, None)
             case GiveUp(number, come_back):
-                self._refuse(number, come_back, Why.FAILED)
+                self._refuse(number, come_back, RefusalReason.FAILED)
             case Probe(hub):
                 self.hubs.probe(hub, self.now + PROBE_WAIT_MS)
             case WakeAt(when, token):
@@ -491,7 +497,7 @@
             case _:
                 pass  # the platform tells news by itself, and border controllers have no way to talk
 
-    def _refuse(self, number: int, come_back: float, why: Why | None) -> None:
+    def _refuse(self, number: int, come_back: float, why: RefusalReason | None) -> None:
         exchange = self.by_number.get(number)
         if exchange is not None:
             attempt = exchange.attempt
@@ -516,12 +522,12 @@
         until = exchange.deadline_ms - LAST_MOMENT_MS
         if wait > 0:
             until = min(until, self.now + wait)
-        goes_out = max(self.now, exchange.answered_ms.get(hub, 0.0) + SECOND_ANSWER_MS)
+        goes_out = max(self.now, exchange.answered_ms.get(hub, 0.0) + DUPLICATE_ANSWER_MS)
         attempt = Attempt(exchange.offer, exchange.attempts, hub, goes_out, until)
         exchange.attempt, exchange.attempts, exchange.released = attempt, exchange.attempts + 1, None
         self.guard.sent(hub, self.now)
         self._at(until, attempt)
         if goes_out > self.now:
-            self._at(goes_out, Held(attempt))
+            self._at(goes_out, DelayedAttempt(attempt))
         else:
             self.hubs.set_up(attempt)
--- a/landingdeal/core/events.py
+++ b/landingdeal/core/events.py
@@ -10,17 +10,17 @@
 from landingdeal.core.contracts import Contract
 
 
-class Why(Enum):
+class RefusalReason(Enum):
     """Why a call is refused; all but FAILED and FORBIDDEN say that trying again is harmless."""
 
-    TURNED_AWAY = "turned away"
+    UNAVAILABLE = "turned away"
     BUSY = "busy"
     TIMED_OUT = "timed out"
     FAILED = "failed"
     FORBIDDEN = "forbidden"
 
 
-class CallerSide(Protocol):
+class CallerResponder(Protocol):
     """Server side: where the final answer of one call goes. None of its functions blocks."""
 
     @property
@@ -34,12 +34,12 @@
 
     def answer(self, description: bytes) -> None: ...
 
-    def refuse(self, come_back_ms: float, why: Why) -> None: ...
+    def refuse(self, come_back_ms: float, why: RefusalReason) -> None: ...
 
     def release(self, cause: int) -> None: ...
 
 
-class HubSide(Protocol):
+class HubClient(Protocol):
     """Client side: towards all lab hubs. None of its functions blocks."""
 
     def set_up(self, attempt: Attempt) -> None: ...
@@ -63,7 +63,7 @@
     destination: int
     deadline_ms: float
     description: bytes
-    caller: CallerSide
+    caller: CallerResponder
     facts: str = ""
     key: int = 0
     width: int = 1
@@ -91,29 +91,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class SetUpCancelled:
     """The caller stopped waiting; no answer is owed."""
 
     call: str
-    caller: CallerSide
+    caller: CallerResponder
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class CallerStreamBroken:
     """What the caller's connection carries can't be read any further: an answer is owed, and at once."""
 
     call: str
-    caller: CallerSide
+    caller: CallerResponder
 
 
 @dataclass(frozen=True, slots=True)
-class Stood:
+class AttemptEstablished:
     attempt: Attempt
     description: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptFailed:
     """The attempt ended without standing."""
 
     attempt: Attempt
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HubDied:
+class HubFailed:
     """The lab hub's process has died or it is silent: calls set up before that moment are cut."""
 
     hub: bytes
@@ -146,13 +146,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GroupState:
+class LoadReported:
     hub: bytes
     figures: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeCompleted:
     hub: bytes
     well: bool
     latency_ms: float
@@ -160,27 +160,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class HubListChanged:
     """Of the list of lab hubs."""
 
     change: ExchangeList
 
 
 @dataclass(frozen=True, slots=True)
-class Budgets:
+class ContractsChanged:
     """The operator's file was read again: these contracts count from now on."""
 
     contracts: tuple[Contract, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class StopRequested:
     """Answer what is open, then end. The kill is counted from when it was asked."""
 
     asked_ms: float
 
 
-Arrival = (
-    Offer | Withdrawn | Unreadable | Stood | Ended | HubReleased | CallerReleased
-    | HubDied | GroupState | Probed | News | Budgets | Stop
+CoreEvent = (
+    Offer | SetUpCancelled | CallerStreamBroken | AttemptEstablished | AttemptFailed | HubReleased
+    | CallerReleased | HubFailed | LoadReported | ProbeCompleted | HubListChanged | ContractsChanged
+    | StopRequested
 )  # fmt: skip
--- a/landingdeal/core/exchange.py
+++ b/landingdeal/core/exchange.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from landingdeal.core.events import Attempt, HubReleased, Offer, Why
+from landingdeal.core.events import Attempt, HubReleased, Offer, RefusalReason
 
 
-class Exchange:
+class PendingCall:
     """A call: its absolute deadline, its one attempt, its one final answer."""
 
     __slots__ = ("offer", "number", "deadline_ms", "attempt", "attempts", "not_before", "final", "why",
@@ -19,7 +19,7 @@
         self.attempts = 0
         self.not_before = float("-inf")
         self.final = False
-        self.why = Why.TURNED_AWAY  # what its last attempt came to
+        self.why = RefusalReason.UNAVAILABLE  # what its last attempt came to
         self.answered_ms: dict[bytes, float] = {}  # when each lab hub last refused it
         self.released: HubReleased | None = None  # it overtook the answer of the attempt that is out
 
@@ -31,7 +31,7 @@
         self.offer.caller.answer(description)
         return True
 
-    def refuse(self, come_back_ms: float, why: Why = Why.TURNED_AWAY) -> bool:
+    def refuse(self, come_back_ms: float, why: RefusalReason = RefusalReason.UNAVAILABLE) -> bool:
         if self.final:
             return False
         self.final = True
@@ -46,11 +46,11 @@
         return True
 
 
-class Standing:
+class EstablishedCall:
     """A call that stands: it belongs to no connection."""
 
     __slots__ = ("offer", "number", "attempt", "description", "since_ms")
 
-    def __init__(self, exchange: Exchange, attempt: Attempt, description: bytes, now: float) -> None:
+    def __init__(self, exchange: PendingCall, attempt: Attempt, description: bytes, now: float) -> None:
         self.offer, self.number, self.attempt = exchange.offer, exchange.number, attempt
         self.description, self.since_ms = description, now
--- a/landingdeal/core/guard.py
+++ b/landingdeal/core/guard.py
@@ -5,14 +5,14 @@
 from collections import deque
 
 from badgerstile.interface import ExchangeList, Health, ListKind, Settings
-from landingdeal.core.exchange import Exchange
+from landingdeal.core.exchange import PendingCall
 
 SHARE_OF_BUDGET = 0.8  # of what a cold processor may be sent; the rest is left for chance
 
 GONE_MOST = 32  # lab hubs that are gone and still known here, the last ones
 
 
-class Listing:
+class GuardedHub:
     """What the guard knows of one lab hub."""
 
     __slots__ = ("health", "came_up_ms", "room_per_s", "sends")
@@ -26,13 +26,13 @@
 class Guard:
     def __init__(self, settings: Settings) -> None:
         self.set = settings
-        self.hubs: dict[bytes, Listing] = {}
+        self.hubs: dict[bytes, GuardedHub] = {}
 
     def news(self, change: ExchangeList) -> None:
         named = set()
         for entry in change.entries:
             named.add(entry.exchange)
-            hub = self.hubs.setdefault(entry.exchange, Listing())
+            hub = self.hubs.setdefault(entry.exchange, GuardedHub())
             hub.health = entry.health
             hub.came_up_ms = max(hub.came_up_ms, entry.came_up_ms)
         if change.kind in (ListKind.WHOLE, ListKind.REMEMBERED):
@@ -48,7 +48,7 @@
         if hub is not None:
             hub.room_per_s = max(hub.room_per_s, per_s)
 
-    def objection(self, exchange: Exchange, name: bytes, now: float) -> str:
+    def objection(self, exchange: PendingCall, name: bytes, now: float) -> str:
         """Why this set-up may not go out now; empty if it may."""
         hub = self.hubs.get(name)
         if exchange.final or now >= exchange.deadline_ms:
@@ -70,7 +70,7 @@
     def sent(self, name: bytes, now: float) -> None:
         self.hubs[name].sends.append(now)
 
-    def _over_budget(self, hub: Listing, now: float) -> bool:
+    def _over_budget(self, hub: GuardedHub, now: float) -> bool:
         """Guards a cold processor against the sum of all border controllers: each keeps to its own part."""
         age = now - hub.came_up_ms
         if hub.came_up_ms <= 0 or age >= self.set.cold_ms or hub.room_per_s <= 0:
--- a/landingdeal/core/lifecycle.py
+++ b/landingdeal/core/lifecycle.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class ShutdownTimes:
     """Milliseconds after the stop."""
 
     takes: float = TAKES_MS
@@ -42,17 +42,17 @@
     flush: float = 1000.0  # the most, counted from when the core ended: for a peer that does not read
 
 
-def times_before_kill(longest_deadline_ms: float, flush_ms: float = 1000.0) -> Times:
+def times_before_kill(longest_deadline_ms: float, flush_ms: float = 1000.0) -> ShutdownTimes:
     """For a deployment with this longest deadline of all classes; the kill is counted from it."""
     kill = min(longest_deadline_ms, LONGEST_MS) + KILL_MS
     answers = kill - ANSWERS_BEFORE_MS
-    return Times(min(TAKES_MS, answers - REFUSES_MS), answers, kill - ENDS_BEFORE_MS, flush_ms)
+    return ShutdownTimes(min(TAKES_MS, answers - REFUSES_MS), answers, kill - ENDS_BEFORE_MS, flush_ms)
 
 
 class Lifecycle:
     """One thread at a time moves it: the core's until the core ends, then the main thread."""
 
-    def __init__(self, times: Times = Times()) -> None:  # noqa: B008 (frozen)
+    def __init__(self, times: ShutdownTimes = ShutdownTimes()) -> None:  # noqa: B008 (frozen)
         self.times = times
         self.watchers: list[Callable[[], None]] = []  # told of each new phase; none may block
         self._phase = Phase.RUNNING
@@ -112,7 +112,7 @@
         self._enter(Phase.DRAINING)
         return True
 
-    def core_looks(self, open_calls: int, inbox: int, now: float) -> bool:
+    def check_core(self, open_calls: int, inbox: int, now: float) -> bool:
         """After each batch; `inbox` counts what the core has not handled. True: all that is open is refused.
 
         A listener that was not emptied yet holds the end back: who waits there was let in by the machine.
@@ -126,7 +126,7 @@
                 self._core_ended(now)
         return overdue and open_calls > 0
 
-    def core_gone(self, now: float) -> None:
+    def core_stopped(self, now: float) -> None:
         """The core's thread is no more, for whatever reason: there is nobody left to decide."""
         if self.core_runs:
             self.stop_ms = min(self.stop_ms, now)
@@ -136,14 +136,14 @@
         self.flush_ms = now
         self._enter(Phase.FLUSHING)
 
-    def flush_looks(self, connections: int, now: float) -> None:
+    def check_flush(self, connections: int, now: float) -> None:
         """`connections` counts those that may not go yet, and releases that are not through."""
         if self.phase is Phase.FLUSHING and (not connections or now >= self.due_ms):
             self._enter(Phase.ENDED)
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class ConnectionState:
     """One connection from a caller, as it is at one moment."""
 
     owed: int  # set-ups taken whose final answer is not queued yet
@@ -151,13 +151,13 @@
     unread: bool  # bytes the system has received that were not handled to the end
 
 
-def may_go(held: Held) -> bool:
+def may_close(held: ConnectionState) -> bool:
     """Whether nothing taken stands on it. What comes after this moment crosses the close."""
     return held.owed == 0 and held.unsent == 0 and not held.unread
 
 
 @dataclass(frozen=True, slots=True)
-class Idler:
+class IdleConnection:
     """A connection with no set-up open, as a candidate to be closed for room."""
 
     number: int  # the caller's of `spare`
@@ -171,7 +171,7 @@
 FRESH_MS = 200.0  # after its connect a usual caller has sent its set-up
 
 
-def spare(idle: Iterable[Idler], crowded: int, now: float) -> list[int]:
+def connections_to_close(idle: Iterable[IdleConnection], crowded: int, now: float) -> list[int]:
     """Which may be closed, first to go first: those that say nothing, then the idlest.
 
     `crowded`: how many have to go for room; zero or less where there is room, and then only the idle go.
--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -10,8 +10,8 @@
 from landingdeal.clock import now_ms
 from landingdeal.core import steps
 from landingdeal.core.broker import Inbox
-from landingdeal.core.events import CallerReleased, Unreadable, Why, Withdrawn
-from landingdeal.core.lifecycle import Idler, Lifecycle, may_go, spare
+from landingdeal.core.events import CallerReleased, CallerStreamBroken, RefusalReason, SetUpCancelled
+from landingdeal.core.lifecycle import IdleConnection, Lifecycle, connections_to_close, may_close
 from landingdeal.log import log_event
 from landingdeal.net.link import CallerLink, Door
 from landingdeal.net.set_up import offer_of
@@ -64,7 +64,7 @@
             left = list(self.links.items())
         for link, open_here in left:
             for caller in list(open_here.values()):
-                caller.refuse(self.later_ms, Why.TURNED_AWAY)
+                caller.refuse(self.later_ms, RefusalReason.UNAVAILABLE)
             self._close_if_idle(link)
         return sum(link.alive for link, _ in left)
 
@@ -73,7 +73,7 @@
         steps.at(steps.CLOSING)
         with self.lock:
             open_here = self.links.get(link)
-            if open_here is None or not may_go(link.held(len(open_here))):
+            if open_here is None or not may_close(link.held(len(open_here))):
                 return False
             link.end("not needed")
         return True
@@ -117,8 +117,10 @@
             self.swept_ms = now
             idle = [link for link, open_here in self.links.items() if link.alive and not open_here]
         most = crowded
-        told = (Idler(n, link.heard_ms, link.began_ms, link.trust > 0) for n, link in enumerate(idle))
-        for number in spare(told, crowded, now):
+        told = (
+            IdleConnection(n, link.heard_ms, link.began_ms, link.trust > 0) for n, link in enumerate(idle)
+        )
+        for number in connections_to_close(told, crowded, now):
             closed = self._close_if_idle(idle[number])
             most -= closed
             if closed and crowded > 0 and most <= 0:
@@ -128,7 +130,7 @@
         with self.lock:
             open_here = list(self.links.get(link, {}).items())
         for call, caller in open_here:
-            self.inbox.tell(Unreadable(call, caller))
+            self.inbox.tell(CallerStreamBroken(call, caller))
 
     def _ended(self, link: CallerLink, reset: bool) -> None:
         with self.lock:
@@ -140,7 +142,7 @@
         log_event("caller_closed", link=link.number, why=link.why or ("reset" if reset else "by the caller"),
                open=len(open_here), unsent=link.unsent())  # fmt: skip
         for call, caller in open_here.items():
-            self.inbox.tell(Withdrawn(call, caller))
+            self.inbox.tell(SetUpCancelled(call, caller))
         for call, cause in again:  # guards against a release written into a connection just being closed
             self.release(call, cause, link)
 
@@ -183,7 +185,7 @@
         if transaction is None:
             transaction = CallerTransaction(self, link, message)
         transaction.give_up()
-        self.inbox.tell(Withdrawn(message.call_id, transaction))
+        self.inbox.tell(SetUpCancelled(message.call_id, transaction))
 
     def _repeated(self, link: CallerLink, call: str) -> bool:
         """Whether a set-up under this id has come on this connection: its one answer serves both."""
@@ -211,7 +213,7 @@
         steps.at(steps.TAKEN)
         if not self.inbox.offer(offer):  # guards against a caller left unanswered by a full inbox
             log_event("refused", call=offer.call, by="front", closed=self.inbox.closed)
-            caller.refuse(self.later_ms, Why.TURNED_AWAY)
+            caller.refuse(self.later_ms, RefusalReason.UNAVAILABLE)
 
     def closed_set_up(self, caller: CallerTransaction) -> None:
         with self.lock:
--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -18,7 +18,7 @@
 
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core import steps
-from landingdeal.core.lifecycle import Held
+from landingdeal.core.lifecycle import ConnectionState
 from landingdeal.log import log_text
 from landingdeal.sip.message import BrokenFraming, Framer, Malformed, Message, Oversize, encode
 from landingdeal.threads import start_supervised_thread, start_thread
@@ -134,8 +134,8 @@
         except OSError:
             return False  # nothing to read, or nobody to answer
 
-    def held(self, owed: int) -> Held:
-        return Held(owed, self.unsent(), self.unread())
+    def held(self, owed: int) -> ConnectionState:
+        return ConnectionState(owed, self.unsent(), self.unread())
 
     def end(self, why: str) -> None:
         """Closes it for a reason that the log tells."""
--- a/landingdeal/net/set_up.py
+++ b/landingdeal/net/set_up.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from landingdeal.core.events import CallerSide, Offer
+from landingdeal.core.events import CallerResponder, Offer
 from landingdeal.sip.message import Message
 
 NUMBER_MOST = 0xFFFF  # of lab hubs
@@ -47,7 +47,7 @@
     return text
 
 
-def offer_of(message: Message, caller: CallerSide, came_ms: float, patience_most_ms: float) -> Offer:
+def offer_of(message: Message, caller: CallerResponder, came_ms: float, patience_most_ms: float) -> Offer:
     """Raises ValueError or KeyError on what is missing, no number or out of range."""
     facts = facts_of(message.get("x-facts"))
     patience = decimal(message.get("x-patience"))
--- a/landingdeal/net/transaction.py
+++ b/landingdeal/net/transaction.py
@@ -8,12 +8,15 @@
 from typing import Protocol
 
 from landingdeal.core import steps
-from landingdeal.core.events import Why
+from landingdeal.core.events import RefusalReason
 from landingdeal.log import log_event
 from landingdeal.net.link import CallerLink
 from landingdeal.sip.message import Message, response
 
-STATUS = {Why.FAILED: 500, Why.FORBIDDEN: 403}  # all others: 503, trying again is harmless
+STATUS = {
+    RefusalReason.FAILED: 500,
+    RefusalReason.FORBIDDEN: 403,
+}  # all others: 503, trying again is harmless
 
 
 class State(Enum):
@@ -36,7 +39,7 @@
 class CallerTransaction:
     """Core, reader, writer and main thread may all want to end it; whoever comes first does.
 
-    It is the `CallerSide` of its call.
+    It is the `CallerResponder` of its call.
     """
 
     __slots__ = ("front", "link", "invite", "_state", "_lock")
@@ -66,7 +69,7 @@
     def answer(self, description: bytes) -> None:
         self._final(lambda: response(self.invite, 200, body=description), stands=True)
 
-    def refuse(self, come_back_ms: float, why: Why) -> None:
+    def refuse(self, come_back_ms: float, why: RefusalReason) -> None:
         later = (("x-later-ms", str(int(come_back_ms))),) if come_back_ms > 0 else ()
         self._final(lambda: response(self.invite, STATUS.get(why, 503), *later))
 
--- a/landingdeal/service/life.py
+++ b/landingdeal/service/life.py
@@ -9,7 +9,7 @@
 
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.broker import Broker
-from landingdeal.core.events import Stop
+from landingdeal.core.events import StopRequested
 from landingdeal.core.lifecycle import Phase
 from landingdeal.errors import ConfigError
 from landingdeal.log import log_event, log_text
@@ -35,14 +35,14 @@
     """Until SIGTERM, then until every call has its answer and `flush` counts nothing left to be written."""
     life = broker.life
     life.watchers.append(lambda: log_event("phase", now=life.phase.name))
-    signals.carry_out(lambda at_ms: broker.inbox.tell(Stop(at_ms)), lambda: reload(reread))
+    signals.carry_out(lambda at_ms: broker.inbox.tell(StopRequested(at_ms)), lambda: reload(reread))
     core = start_thread("core", broker.run, START_TIMEOUT_MS)
     while core.is_alive():
         core.join(1.0)
-    life.core_gone(now_ms())
+    life.core_stopped(now_ms())
     while True:
         left = flush()
-        life.flush_looks(left, now_ms())
+        life.check_flush(left, now_ms())
         if life.phase is Phase.ENDED:
             break
         time.sleep(seconds_until(now_ms() + LOOK_MS))
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -9,7 +9,7 @@
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.broker import Broker, Inbox
 from landingdeal.core.contracts import Contract, Contracts
-from landingdeal.core.events import Budgets, News
+from landingdeal.core.events import ContractsChanged, HubListChanged
 from landingdeal.core.lifecycle import Lifecycle, times_before_kill
 from landingdeal.net.bus import BusReader
 from landingdeal.net.callers import Callers
@@ -47,7 +47,7 @@
     def told(event: TopologyEvent) -> None:
         for one in event.addresses:
             hubs.known(one.name, one.where, one.health is Health.GONE, one.health is Health.DRAINING)
-        inbox.tell(News(event.change))
+        inbox.tell(HubListChanged(event.change))
 
     def ready() -> None:
         until = now_ms() + READY_MS
@@ -63,7 +63,7 @@
     def reread() -> None:
         new, budgets = read_platform(path), read_contracts_of(where)
         bus.move(new.bus, new.known)
-        inbox.tell(Budgets(budgets))
+        inbox.tell(ContractsChanged(budgets))
 
     bus.start()
     start_supervised_thread("ready", ready)
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -11,7 +11,7 @@
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import Broker, Inbox
 from landingdeal.core.contracts import Contracts
-from landingdeal.core.events import Budgets, News
+from landingdeal.core.events import ContractsChanged, HubListChanged
 from landingdeal.core.lifecycle import Lifecycle, times_before_kill
 from landingdeal.errors import ConfigError
 from landingdeal.log import log_text
@@ -49,9 +49,14 @@
     contracts = Contracts(operator.contracts)
     broker = Broker(operator.settings, seed, inbox, front, lambda call, cause: None, contracts, life)
     listed = tuple(Listed(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
-    inbox.tell(News(ExchangeList(ListKind.REMEMBERED, listed)))
+    inbox.tell(HubListChanged(ExchangeList(ListKind.REMEMBERED, listed)))
     front.start(capture)
     log_text(f"SIP front on {operator.sip.host}:{operator.sip.port}, UDP and TCP")
-    run(broker, front.flush, signals, lambda: inbox.tell(Budgets(read_operator_file(where).contracts)))
+    run(
+        broker,
+        front.flush,
+        signals,
+        lambda: inbox.tell(ContractsChanged(read_operator_file(where).contracts)),
+    )
     if sink is not None:
         sink.end(now_ms() + SINK_MS)
--- a/landingdeal/sip/call.py
+++ b/landingdeal/sip/call.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from landingdeal.core.events import Attempt, Why
+from landingdeal.core.events import Attempt, RefusalReason
 from landingdeal.sip.address import parse_name_addr
 from landingdeal.sip.dialog import Dialog
 from landingdeal.sip.loop import Loop
@@ -18,7 +18,7 @@
 
     def answer_call(self, call: Call, description: bytes) -> None: ...
 
-    def refuse_call(self, call: Call, come_back_ms: float, why: Why) -> None: ...
+    def refuse_call(self, call: Call, come_back_ms: float, why: RefusalReason) -> None: ...
 
     def release_caller(self, call: Call, cause: int) -> None: ...
 
@@ -63,7 +63,7 @@
     def answer(self, description: bytes) -> None:
         self.front.loop.post(lambda: self.front.answer_call(self.call, description))
 
-    def refuse(self, come_back_ms: float, why: Why) -> None:
+    def refuse(self, come_back_ms: float, why: RefusalReason) -> None:
         self.front.loop.post(lambda: self.front.refuse_call(self.call, come_back_ms, why))
 
     def release(self, cause: int) -> None:
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -10,18 +10,18 @@
 import math
 
 from badgerstile.interface import Ending, Figure, Reason, Settings
-from landingdeal.core.broker import CAUSE_CUT, Inbox
+from landingdeal.core.broker import CAUSE_CALL_CUT, Inbox
 from landingdeal.core.events import (
     Attempt,
+    AttemptEstablished,
+    AttemptFailed,
     CallerReleased,
-    Ended,
-    GroupState,
     HubReleased,
+    LoadReported,
     Offer,
-    Probed,
-    Stood,
-    Why,
-    Withdrawn,
+    ProbeCompleted,
+    RefusalReason,
+    SetUpCancelled,
 )
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import log_text
@@ -42,7 +42,12 @@
 from landingdeal.threads import start_thread
 
 CALLS_MOST = 4000
-STATUS = {Why.BUSY: 486, Why.TIMED_OUT: 408, Why.FAILED: 500, Why.FORBIDDEN: 403}
+STATUS = {
+    RefusalReason.BUSY: 486,
+    RefusalReason.TIMED_OUT: 408,
+    RefusalReason.FAILED: 500,
+    RefusalReason.FORBIDDEN: 403,
+}
 ENDINGS = {
     408: Ending.TIMED_OUT, 480: Ending.TURNED_BACK, 487: Ending.CANCELLED, 503: Ending.TURNED_BACK,
     504: Ending.CUT,
@@ -208,7 +213,7 @@
 
     def _withdraw(self, call: Call) -> None:
         call.server.respond(self._reply(call.server.request, 487, tag=call.tag))
-        self.inbox.tell(Withdrawn(call.key, call.caller))
+        self.inbox.tell(SetUpCancelled(call.key, call.caller))
 
     def new_ack(self, message: Message, key: str, flow: Flow) -> None:
         invite = self.servers.get(f"{key}|INVITE")
@@ -243,7 +248,7 @@
         self.dialogs[side.dialog.key] = side
         self._stand(side, call.server, final)
         if hub_side is None or hub_side.dialog.over:  # its lab hub has released it already
-            self._bye(side, CAUSE_CUT)
+            self._bye(side, CAUSE_CALL_CUT)
 
     def _stand(self, side: Side, transaction: ServerTransaction, final: Message) -> None:
         """Sends a 2xx, and again until its ACK comes (13.3.1.4), on any transport."""
@@ -263,12 +268,12 @@
             if side.unacked == number and not side.dialog.over:
                 side.unacked = -1
                 log_text(f"call {side.call.key}: a 2xx was never acknowledged")
-                self._drop_call(side.call, CAUSE_CUT, None)
+                self._drop_call(side.call, CAUSE_CALL_CUT, None)
 
         again(self.timing.t1)
         self.at(self.now() + self.timing.b, lost)
 
-    def refuse_call(self, call: Call, come_back_ms: float, why: Why) -> None:
+    def refuse_call(self, call: Call, come_back_ms: float, why: RefusalReason) -> None:
         later = []
         if come_back_ms > 0:
             later = [
@@ -286,7 +291,7 @@
     def _set_up(self, attempt: Attempt) -> None:
         hub, call = self.hubs.get(attempt.hub), self.calls.get(attempt.offer.call)
         if hub is None or call is None:
-            self.inbox.tell(Ended(attempt, Ending.UNREACHABLE))
+            self.inbox.tell(AttemptFailed(attempt, Ending.UNREACHABLE))
             return
         left = attempt.deadline_ms - self.now()
         if left <= 0:
@@ -334,7 +339,7 @@
             reason = Reason.PROCESSOR_FULL
         elif message.status in BUSY:
             reason = Reason.LINES_BUSY
-        self.inbox.tell(Ended(leg.attempt, ending, reason, figures_of(message, self.set)))
+        self.inbox.tell(AttemptFailed(leg.attempt, ending, reason, figures_of(message, self.set)))
 
     def _stands(self, leg: Leg, message: Message) -> None:
         transaction, call = leg.transaction, leg.call
@@ -364,7 +369,7 @@
             return
         call.hub_side = side
         call.answer_kind = message.get("content-type", call.answer_kind)
-        self.inbox.tell(Stood(leg.attempt, message.body))
+        self.inbox.tell(AttemptEstablished(leg.attempt, message.body))
 
     def _acknowledge(self, side: Side, caller_ack: Message | None) -> None:
         dialog, flow = side.dialog, self._flow_for(side.dialog)
@@ -419,7 +424,7 @@
         if hub.circuits:
             told = {Figure.FREE_CIRCUITS: hub.circuits - self.used[hub.name], Figure.GROUP_SIZE: hub.circuits}
             figures = tuple(float(told.get(figure, -1)) for figure in self.set.figures)
-            self.inbox.tell(GroupState(hub.name, figures))
+            self.inbox.tell(LoadReported(hub.name, figures))
 
     def _probe(self, name: bytes, deadline_ms: float) -> None:
         hub, asked = self.hubs[name], self.now()
@@ -430,7 +435,9 @@
             if not done and message.status >= 200:
                 done = True
                 well = message.status < 300
-                self.inbox.tell(Probed(name, well, self.now() - asked + 0.1, figures_of(message, self.set)))
+                self.inbox.tell(
+                    ProbeCompleted(name, well, self.now() - asked + 0.1, figures_of(message, self.set))
+                )
 
         flow = self.transports.to(hub.transport, hub.host, hub.port, deadline_ms)
         uri = f"sip:load@{hub.host}:{hub.port}"
@@ -529,7 +536,7 @@
         more = [("retry-after", got.get("retry-after"))] if got.get("retry-after") else []
         transaction.respond(self._reply(asked, got.status, *more))
         if got.status in (408, 481) or not got.get("via"):  # that leg is gone (12.2.1.2)
-            self._drop_call(side.call, CAUSE_CUT, other)
+            self._drop_call(side.call, CAUSE_CALL_CUT, other)
 
     def _cancel_reinvite(self, invite: ServerTransaction) -> None:
         """CANCEL goes on to the other side; the final answer is whatever comes back from there."""
@@ -609,9 +616,9 @@
     def _release_all(self) -> None:
         for call in list(self.calls.values()):
             if call.caller_side is not None or call.hub_side is not None:
-                self._drop_call(call, CAUSE_CUT, None)
+                self._drop_call(call, CAUSE_CALL_CUT, None)
             elif not call.server.answered:  # it came when the core had ended already
-                self.refuse_call(call, self.set.max_retry_advice_ms, Why.TURNED_AWAY)
+                self.refuse_call(call, self.set.max_retry_advice_ms, RefusalReason.UNAVAILABLE)
         self.released = True
 
     def flow_lost(self, flow: Flow) -> None:
@@ -631,7 +638,7 @@
             if server.flow.spare is flow:
                 call = self.early.get(server.key)
                 if call is not None and call.caller_side is not None:
-                    self._drop_call(call, CAUSE_CUT, call.caller_side)
+                    self._drop_call(call, CAUSE_CALL_CUT, call.caller_side)
         for side in list(self.dialogs.values()):
             awaited = side.unacked >= 0  # its 2xx is sent again anyhow, on a new connection
             if side.dialog.flow is flow and not side.dialog.over and not awaited:
@@ -650,7 +657,7 @@
             if lost and not side.dialog.over:
                 who = "caller" if side.caller else "lab hub"
                 log_text(f"call {side.call.key}: the {who} can't be reached any more")
-                self._drop_call(side.call, CAUSE_CUT, side)
+                self._drop_call(side.call, CAUSE_CALL_CUT, side)
 
         flow = self._flow_for(side.dialog)
         self._client(flow, side.dialog.make("OPTIONS", self._via(flow)), answered)
--- a/tests/rig/front.py
+++ b/tests/rig/front.py
@@ -73,5 +73,5 @@
 
     def end(self) -> None:
         self.life.stop(0.0)
-        self.life.core_gone(0.0)
+        self.life.core_stopped(0.0)
         self.sock.close()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,21 +10,21 @@
 from badgerstile.interface import Ending, ExchangeList, Health, Listed, ListKind, Reason
 from badgerstile.wire import read_settings
 from landingdeal.clock import now_ms
-from landingdeal.core.broker import INBOX_MOST, SECOND_ANSWER_MS, Broker, Inbox
+from landingdeal.core.broker import DUPLICATE_ANSWER_MS, MAX_INBOX_SIZE, Broker, Inbox
 from landingdeal.core.contracts import Contract, Contracts
 from landingdeal.core.events import (
     Attempt,
-    Ended,
-    GroupState,
+    AttemptEstablished,
+    AttemptFailed,
+    HubListChanged,
     HubReleased,
-    News,
+    LoadReported,
     Offer,
-    Stood,
-    Stop,
-    Why,
-    Withdrawn,
+    RefusalReason,
+    SetUpCancelled,
+    StopRequested,
 )
-from landingdeal.core.exchange import Exchange
+from landingdeal.core.exchange import PendingCall
 from landingdeal.core.guard import Guard
 from tests.scenario import SETTINGS
 
@@ -47,7 +47,7 @@
     def answer(self, description: bytes) -> None:
         self.told.append(description)
 
-    def refuse(self, come_back_ms: float, why: Why) -> None:
+    def refuse(self, come_back_ms: float, why: RefusalReason) -> None:
         self.told.append(why)
 
     def release(self, cause: int) -> None:
@@ -81,8 +81,8 @@
         self.broker = Broker(
             SET, 1, self.inbox, self.hubs, lambda call, _: self.released.append(call), Contracts(contracts)
         )
-        self.give(News(ExchangeList(ListKind.REMEMBERED, (Listed(HUB, 1, Health.READY, 0.0),))))
-        self.give(GroupState(HUB, (40.0, 40.0, -1.0, -1.0)))
+        self.give(HubListChanged(ExchangeList(ListKind.REMEMBERED, (Listed(HUB, 1, Health.READY, 0.0),))))
+        self.give(LoadReported(HUB, (40.0, 40.0, -1.0, -1.0)))
 
     def give(self, *events: object) -> None:
         for event in events:
@@ -98,7 +98,7 @@
 def test_a_call_stands_and_its_release_is_told_once() -> None:
     stage = Stage()
     stage.offer()
-    stage.give(Stood(stage.hubs.sent[0], b"theirs"))
+    stage.give(AttemptEstablished(stage.hubs.sent[0], b"theirs"))
     stage.give(HubReleased("a", HUB, 16), HubReleased("a", HUB, 16))
     assert stage.caller.told == [b"theirs", 16]
     assert stage.released == ["a"]  # of a call not known here: told on any connection
@@ -107,14 +107,16 @@
 @pytest.mark.parametrize(
     ("ending", "reason", "why"),
     [
-        (Ending.TURNED_BACK, Reason.PROCESSOR_FULL, Why.TURNED_AWAY),
-        (Ending.ERROR, Reason.LINES_BUSY, Why.BUSY),
+        (Ending.TURNED_BACK, Reason.PROCESSOR_FULL, RefusalReason.UNAVAILABLE),
+        (Ending.ERROR, Reason.LINES_BUSY, RefusalReason.BUSY),
     ],
 )
-def test_a_given_up_call_is_refused_at_once(ending: Ending, reason: Reason, why: Why) -> None:
+def test_a_given_up_call_is_refused_at_once(ending: Ending, reason: Reason, why: RefusalReason) -> None:
     stage = Stage()
     stage.offer()
-    stage.give(Ended(stage.hubs.sent[0], ending, reason), Ended(stage.hubs.sent[0], ending, reason))
+    stage.give(
+        AttemptFailed(stage.hubs.sent[0], ending, reason), AttemptFailed(stage.hubs.sent[0], ending, reason)
+    )
     assert stage.caller.told == [why]
     assert not stage.broker.open and not stage.broker.by_number
 
@@ -122,8 +124,8 @@
 def test_an_answer_after_the_caller_left_is_released() -> None:
     stage = Stage()
     stage.offer()
-    stage.give(Withdrawn("a", stage.caller))
-    stage.give(Stood(stage.hubs.sent[0], b"late"))
+    stage.give(SetUpCancelled("a", stage.caller))
+    stage.give(AttemptEstablished(stage.hubs.sent[0], b"late"))
     assert stage.caller.told == []
     assert stage.hubs.done == ["cancel", "release"]
 
@@ -134,10 +136,10 @@
     stage.caller = Caller(there)
     first, second = stage.offer(), Caller()
     stage.give(replace(first, caller=second))
-    stage.give(Stood(stage.hubs.sent[0], b"theirs"))
+    stage.give(AttemptEstablished(stage.hubs.sent[0], b"theirs"))
     assert len(stage.hubs.sent) == 1
     answered: list[object] = [b"theirs"]
-    assert second.told == ([Why.FAILED] if there else answered)
+    assert second.told == ([RefusalReason.FAILED] if there else answered)
     assert stage.caller.told == (answered if there else [])
 
 
@@ -145,39 +147,39 @@
     stage, thief = Stage(), Caller()
     stage.caller = Caller(there=False)
     other = replace(stage.offer(), caller=thief, description=b"another")
-    stage.give(other, Withdrawn("a", thief))
-    stage.give(Stood(stage.hubs.sent[0], b"theirs"))
-    stage.give(other, Withdrawn("a", thief))
-    assert thief.told == [Why.FAILED, Why.FAILED]
+    stage.give(other, SetUpCancelled("a", thief))
+    stage.give(AttemptEstablished(stage.hubs.sent[0], b"theirs"))
+    stage.give(other, SetUpCancelled("a", thief))
+    assert thief.told == [RefusalReason.FAILED, RefusalReason.FAILED]
     assert stage.caller.told == [b"theirs"] and stage.hubs.done == [] and "a" in stage.broker.standing
 
 
 def test_a_number_that_no_hub_ever_had_is_refused_and_leaves_nothing_behind() -> None:
     stage = Stage()
     stage.give(Offer("a", "sip:a@net", "voice", 99, now_ms() + 4000, b"body", stage.caller))
-    assert stage.caller.told == [Why.FAILED]
+    assert stage.caller.told == [RefusalReason.FAILED]
     assert not stage.broker.switch.rates and not stage.broker.open
 
 
 def test_a_later_start_of_its_process_ends_what_stood_at_a_hub() -> None:
     stage = Stage()
     stage.offer()
-    stage.give(Stood(stage.hubs.sent[0], b"theirs"))
+    stage.give(AttemptEstablished(stage.hubs.sent[0], b"theirs"))
     for came_up, told in ((now_ms() - 60000, [b"theirs"]), (now_ms() + 1, [b"theirs", 41])):
-        stage.give(News(ExchangeList(ListKind.CHANGES, (Listed(HUB, 1, Health.READY, came_up),))))
+        stage.give(HubListChanged(ExchangeList(ListKind.CHANGES, (Listed(HUB, 1, Health.READY, came_up),))))
         assert stage.caller.told == told
 
 
 def test_after_the_stop_all_is_answered_before_the_kill() -> None:
     stage = Stage()
     stage.offer(patience=9000.0)
-    stage.give(Stop(stage.broker.now))
+    stage.give(StopRequested(stage.broker.now))
     life = stage.broker.life
-    life.core_looks(1, 0, now_ms() + life.times.takes)
+    life.check_core(1, 0, now_ms() + life.times.takes)
     assert stage.caller.told == [] and life.core_runs and life.due_ms - now_ms() < 3700
     life.stop_ms -= life.times.answers  # that much later
     stage.broker.turn()
-    assert stage.caller.told == [Why.TURNED_AWAY] and not stage.broker.open and not life.core_runs
+    assert stage.caller.told == [RefusalReason.UNAVAILABLE] and not stage.broker.open and not life.core_runs
 
 
 @pytest.mark.parametrize("mute", [True, False])
@@ -197,7 +199,7 @@
     for number in range(500):
         name = f"s-{number}".encode()
         for health in (Health.READY, Health.GONE):
-            stage.give(News(ExchangeList(ListKind.CHANGES, (Listed(name, 1, health, 0.0),))))
+            stage.give(HubListChanged(ExchangeList(ListKind.CHANGES, (Listed(name, 1, health, 0.0),))))
     assert len(stage.broker.guard.hubs) < 50 and len(stage.broker.switch.far) < 50
 
 
@@ -209,7 +211,7 @@
 
     stage.broker.switch.handle = fails  # type: ignore[assignment,method-assign]
     stage.offer()
-    assert stage.caller.told == [Why.FAILED]
+    assert stage.caller.told == [RefusalReason.FAILED]
     assert "on purpose" in capsys.readouterr().err
 
 
@@ -220,13 +222,13 @@
     until = now_ms() + 5000
     while not stage.caller.told and now_ms() < until:
         stage.broker.turn()
-    assert stage.caller.told == [Why.TURNED_AWAY]
+    assert stage.caller.told == [RefusalReason.UNAVAILABLE]
 
 
 def test_a_full_inbox_turns_set_ups_away() -> None:
     inbox, caller = Inbox(), Caller()
     offer = Offer("a", "sip:a@net", "voice", 1, now_ms() + 1000, b"", caller)
-    for _ in range(INBOX_MOST):
+    for _ in range(MAX_INBOX_SIZE):
         assert inbox.offer(offer)
     assert not inbox.offer(offer)
     inbox = Inbox()
@@ -254,13 +256,13 @@
     stage.offer("c", team="payments", kind="data")
     stage.offer("d", team="others")
     assert len(stage.hubs.sent) == 1
-    assert stage.caller.told == [Why.TURNED_AWAY, Why.FORBIDDEN, Why.FORBIDDEN]
+    assert stage.caller.told == [RefusalReason.UNAVAILABLE, RefusalReason.FORBIDDEN, RefusalReason.FORBIDDEN]
 
 
-def guarded() -> tuple[Guard, Exchange]:
+def guarded() -> tuple[Guard, PendingCall]:
     guard = Guard(SET)
     guard.news(ExchangeList(ListKind.WHOLE, (Listed(HUB, 1, Health.READY, 0.0),)))
-    return guard, Exchange(Offer("a", "sip:a@net", "voice", 1, 9000.0, b"", Caller()), 1)
+    return guard, PendingCall(Offer("a", "sip:a@net", "voice", 1, 9000.0, b"", Caller()), 1)
 
 
 def test_the_guard_keeps_each_rule() -> None:
@@ -303,15 +305,15 @@
     stage.offer()
     first, broker = stage.hubs.sent[0], stage.broker
     exchange = broker.open["a"]
-    stage.give(Ended(first, Ending.NOT_SENT))
+    stage.give(AttemptFailed(first, Ending.NOT_SENT))
     if exchange.attempt is None:
         broker._set_up(exchange.number, HUB, 0.0)
     assert exchange.attempt is not None and len(stage.hubs.sent) == 1, "it goes out later"
     again = exchange.attempt
-    assert again.sent_ms >= broker.now + SECOND_ANSWER_MS - 1
+    assert again.sent_ms >= broker.now + DUPLICATE_ANSWER_MS - 1
     until = now_ms() + 5000
     while len(stage.hubs.sent) == 1 and now_ms() < until:
         broker.turn()
     assert stage.hubs.sent[1] is again and now_ms() >= again.sent_ms
-    stage.give(Ended(first, Ending.NOT_SENT))  # late, and of the first
+    stage.give(AttemptFailed(first, Ending.NOT_SENT))  # late, and of the first
     assert exchange.attempt is again
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -19,8 +19,17 @@
 
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core import steps
-from landingdeal.core.events import Unreadable, Why
-from landingdeal.core.lifecycle import Held, Idler, Lifecycle, Phase, Times, may_go, spare, times_before_kill
+from landingdeal.core.events import CallerStreamBroken, RefusalReason
+from landingdeal.core.lifecycle import (
+    ConnectionState,
+    IdleConnection,
+    Lifecycle,
+    Phase,
+    ShutdownTimes,
+    connections_to_close,
+    may_close,
+    times_before_kill,
+)
 from landingdeal.lab.trial.trial import Plan as Trial
 from landingdeal.lab.trial.trial import play
 from landingdeal.sip.message import encode, request
@@ -28,7 +37,7 @@
 from tests.rig.restarts import END_S, Plan, Stage, play_round
 from tests.scenario import BODY, PATIENCE_S, ROOT
 
-TIMES = Times()
+TIMES = ShutdownTimes()
 VENV_BIN = str(Path(sys.executable).parent)
 EVENTS = st.lists(
     st.tuples(
@@ -70,17 +79,17 @@
                 self._core()
             case "gone":
                 if what == "gone" and self.life.core_runs and before is not Phase.RUNNING:
-                    self.life.core_gone(self.now)
+                    self.life.core_stopped(self.now)
                     assert self.life.phase is Phase.FLUSHING
             case "flush":
-                self.life.flush_looks(self.open, self.now)
+                self.life.check_flush(self.open, self.now)
                 if self.life.phase is Phase.ENDED and before is not Phase.ENDED:
                     assert before is Phase.FLUSHING and (not self.open or self.now >= self.life.due_ms)
         assert self.life.phase >= before, "it went back"
 
     def _core(self) -> None:
         life, before = self.life, self.life.phase
-        refuse = life.core_looks(self.open, self.inbox, self.now)
+        refuse = life.check_core(self.open, self.inbox, self.now)
         since = self.now - life.stop_ms
         if before is Phase.RUNNING:
             assert life.phase is Phase.RUNNING and not refuse
@@ -108,10 +117,10 @@
     # whatever came, asked to stop it has ended before the kill
     stop = min(life.stop_ms, world.now)
     life.stop(stop)
-    life.core_looks(world.open, world.inbox, stop + TIMES.takes)
-    life.core_looks(world.open, world.inbox, stop + TIMES.answers)
+    life.check_core(world.open, world.inbox, stop + TIMES.takes)
+    life.check_core(world.open, world.inbox, stop + TIMES.answers)
     assert not life.core_runs
-    life.flush_looks(1, stop + TIMES.ends)
+    life.check_flush(1, stop + TIMES.ends)
     assert life.phase is Phase.ENDED and TIMES.ends < 3700.0
 
 
@@ -120,8 +129,8 @@
     assert life.due_ms == float("inf") and life.stop(1000.0) and not life.well and life.takes
 
     def looks(open_calls: int, inbox: int, now: float) -> Phase:
-        life.core_looks(open_calls, inbox, now)
-        life.flush_looks(open_calls, now)
+        life.check_core(open_calls, inbox, now)
+        life.check_flush(open_calls, now)
         return life.phase
 
     assert looks(0, 0, 1699.0) is Phase.DRAINING and life.due_ms == 1700.0
@@ -130,14 +139,14 @@
     life.doors = 0
     assert looks(1, 0, 1702.0) is Phase.FINISHING
     assert looks(0, 1, 1703.0) is Phase.FINISHING
-    life.core_looks(0, 0, 1704.0)
+    life.check_core(0, 0, 1704.0)
     assert looks(2, 0, 1705.0) is Phase.FLUSHING and life.due_ms == 2704.0
     assert looks(0, 0, 1706.0) is Phase.ENDED
 
 
 @given(st.integers(0, 2), st.integers(0, 2), st.booleans())
 def test_nothing_taken_stands_on_what_may_go(owed: int, unsent: int, unread: bool) -> None:
-    assert may_go(Held(owed, unsent, unread)) is ((owed, unsent, unread) == (0, 0, False))
+    assert may_close(ConnectionState(owed, unsent, unread)) is ((owed, unsent, unread) == (0, 0, False))
 
 
 IDLERS = st.lists(st.tuples(st.floats(0, 20000), st.floats(0, 1000), st.booleans()), max_size=40)
@@ -146,8 +155,10 @@
 @given(IDLERS, st.integers(-5, 45))
 def test_room_is_made_by_the_idlest(rows: list[tuple[float, float, bool]], crowded: int) -> None:
     now = 30000.0
-    idle = [Idler(n, now - age, now - age - more, known) for n, (age, more, known) in enumerate(rows)]
-    chosen = spare(idle, crowded, now)
+    idle = [
+        IdleConnection(n, now - age, now - age - more, known) for n, (age, more, known) in enumerate(rows)
+    ]
+    chosen = connections_to_close(idle, crowded, now)
     assert len(set(chosen)) == len(chosen) and set(chosen) <= set(range(len(rows)))
     if crowded > 0:
         assert len(chosen) >= min(crowded, len(rows))
@@ -190,7 +201,7 @@
     front.sweep()
     assert not front.gone()
     gate.go.set()
-    front.offered().caller.refuse(100.0, Why.TURNED_AWAY)
+    front.offered().caller.refuse(100.0, RefusalReason.UNAVAILABLE)
     assert front.reads().startswith(b"SIP/2.0 503")
 
 
@@ -253,8 +264,8 @@
     offer = front.offered()
     front.sock.sendall(spoilt)
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
-    assert isinstance(event, Unreadable) and event.caller is offer.caller
-    offer.caller.refuse(0.0, Why.TURNED_AWAY)
+    assert isinstance(event, CallerStreamBroken) and event.caller is offer.caller
+    offer.caller.refuse(0.0, RefusalReason.UNAVAILABLE)
     assert front.reads().startswith(b"SIP/2.0 503")
     assert front.reads() == b""
 
@@ -272,8 +283,8 @@
         monkeypatch.setattr(link, "on_message", fails)
     front.set_up("b")
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
-    assert isinstance(event, Unreadable) and event.call == "a"
-    offer.caller.refuse(0.0, Why.TURNED_AWAY)
+    assert isinstance(event, CallerStreamBroken) and event.call == "a"
+    offer.caller.refuse(0.0, RefusalReason.UNAVAILABLE)
     assert front.reads().startswith(b"SIP/2.0 503")
 
 
@@ -282,7 +293,7 @@
     front.set_up()
     gate.held()
     front.life.stop(now_ms())
-    front.life.core_gone(now_ms())  # its reader goes on to an inbox that nobody empties any more
+    front.life.core_stopped(now_ms())  # its reader goes on to an inbox that nobody empties any more
     assert front.callers.flush() == 1
     assert front.reads().startswith(b"SIP/2.0 503")
     gate.go.set()
@@ -300,7 +311,7 @@
     late.settimeout(PATIENCE_S)
     late.sendall(encode(request("OPTIONS", "sip:ping@net", ("call-id", "1"), ("cseq", "1 OPTIONS"))))
     front.life.stop(0.0)
-    front.life.core_looks(0, 0, TIMES.takes)
+    front.life.check_core(0, 0, TIMES.takes)
     assert front.life.phase is Phase.FINISHING and front.life.doors == 1
     gate.go.set()
     assert late.recv(100).startswith(b"SIP/2.0 503")  # its test fails: the program is ending
@@ -327,7 +338,7 @@
     front.sock = socket.create_connection(front.where)
     front.sock.settimeout(PATIENCE_S)
     front.set_up()
-    front.offered().caller.refuse(0.0, Why.TURNED_AWAY)
+    front.offered().caller.refuse(0.0, RefusalReason.UNAVAILABLE)
     assert front.reads().startswith(b"SIP/2.0 503")
     refused.close()
 
--- a/tests/test_one_answer.py
+++ b/tests/test_one_answer.py
@@ -11,7 +11,7 @@
 
 from landingdeal.clock import now_ms
 from landingdeal.core import steps
-from landingdeal.core.events import Why, Withdrawn
+from landingdeal.core.events import RefusalReason, SetUpCancelled
 from landingdeal.net.link import CallerLink
 from landingdeal.net.transaction import CallerTransaction
 from landingdeal.sip.message import encode, request
@@ -117,7 +117,7 @@
     headers = ("call-id", call), ("cseq", "1 CANCEL")
     front.sock.sendall(encode(request("CANCEL", f"sip:{call}@net", *headers)))
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
-    assert isinstance(event, Withdrawn)
+    assert isinstance(event, SetUpCancelled)
 
 
 def read_all(front: Front, quiet_s: float = QUIET_S) -> bytes:
@@ -154,7 +154,7 @@
     gate.held()
     front.inbox.closed = True
     front.life.stop(now_ms())
-    front.life.core_gone(now_ms())
+    front.life.core_stopped(now_ms())
     front.callers.flush()
     gate.go.set()
     assert read_all(front).count(b"SIP/2.0 503") == 1
@@ -163,8 +163,8 @@
 def test_one_answer_when_core_and_main_thread_both_answer(front: Front) -> None:
     front.set_up()
     offer = front.offered()
-    offer.caller.refuse(0.0, Why.TURNED_AWAY)
-    offer.caller.refuse(0.0, Why.TURNED_AWAY)
+    offer.caller.refuse(0.0, RefusalReason.UNAVAILABLE)
+    offer.caller.refuse(0.0, RefusalReason.UNAVAILABLE)
     assert read_all(front).count(b"SIP/2.0 503") == 1
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -21,7 +21,7 @@
 from badgerstile.wire import read_settings
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import Inbox
-from landingdeal.core.events import Attempt, Ended, HubDied, Offer, Probed
+from landingdeal.core.events import Attempt, AttemptFailed, HubFailed, Offer, ProbeCompleted
 from landingdeal.lab.ports import free_port
 from landingdeal.net.bus import BusReader
 from landingdeal.net.callers import Callers
@@ -434,7 +434,7 @@
     last = hub.heard_ms
     for later in (2000, 6900, 7250, 7500, 9000):
         hubs.watch(last + later)
-    assert [event for event in inbox.take(last)] == [HubDied(b"h", last + 7250)]
+    assert [event for event in inbox.take(last)] == [HubFailed(b"h", last + 7250)]
 
 
 def test_a_hub_that_was_gone_is_connected_to_again_whatever_is_left_of_it() -> None:
@@ -471,7 +471,7 @@
         while (old.kept or old.open) and now_ms() < until:
             time.sleep(0.01)
         assert not old.kept and not old.open
-        assert [type(event) for event in inbox.take(now_ms())] == [HubDied]
+        assert [type(event) for event in inbox.take(now_ms())] == [HubFailed]
         hubs.known(b"a", "", True)
         hubs.watch(now_ms() + 7100)
         hubs.watch(now_ms() + 7200)
@@ -519,8 +519,8 @@
         told: list[object] = []
         while len(told) < 1 + restarted and now_ms() < until:
             told += inbox.take(until)
-        assert told[0] == Ended(sent, Ending.CANCELLED)
-        assert told[1:] == ([HubDied(b"h", hub.connected_ms)] if restarted else [])
+        assert told[0] == AttemptFailed(sent, Ending.CANCELLED)
+        assert told[1:] == ([HubFailed(b"h", hub.connected_ms)] if restarted else [])
         new.close()
 
 
@@ -559,7 +559,7 @@
     hubs.probe(b"h", now_ms() + 250)
     hubs.watch(now_ms() + 251)
     (event,) = inbox.take(now_ms())
-    assert isinstance(event, Probed) and not event.well and 249 < event.latency_ms <= 250
+    assert isinstance(event, ProbeCompleted) and not event.well and 249 < event.latency_ms <= 250
 
 
 @pytest.mark.parametrize(
@@ -653,9 +653,9 @@
     assert hub.waiting == [attempt]
     hub.kept = True  # no keeper is started here
     hubs.known(b"h", "127.0.0.1:1", False, draining=True)
-    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, Ending.UNREACHABLE)]
+    assert not hub.waiting and list(inbox.take(now_ms())) == [AttemptFailed(attempt, Ending.UNREACHABLE)]
     hubs.set_up(attempt)
-    assert not hub.waiting and list(inbox.take(now_ms())) == [Ended(attempt, Ending.UNREACHABLE)]
+    assert not hub.waiting and list(inbox.take(now_ms())) == [AttemptFailed(attempt, Ending.UNREACHABLE)]
 
 
 def test_an_attempt_that_is_called_off_while_its_connection_comes_up_is_cancelled_after_it_was_sent() -> None:
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -9,7 +9,7 @@
 
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import Inbox
-from landingdeal.core.events import Attempt, Offer, Withdrawn
+from landingdeal.core.events import Attempt, Offer, SetUpCancelled
 from landingdeal.lab.ports import free_port
 from landingdeal.operator import parse_operator_config
 from landingdeal.sip.front import SipFront
@@ -360,7 +360,7 @@
         caller expect 200 b
     """,
     )  # the front has taken the ACK
-    stage.told(Withdrawn)
+    stage.told(SetUpCancelled)
     stage.front.cancel(attempt)  # only now
     play(
         stage,
