--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -192,7 +192,7 @@
         except Exception:  # guards the other calls: one event that goes wrong must not end the program
             traceback.print_exc(file=sys.stderr)
             if isinstance(event, Offer):
-                exchange = self.open.get(event.call)
+                exchange = self.open.get(event.call_id)
                 if exchange is not None and exchange.attempt is None:
                     exchange.refuse(self._come_back(), RefusalReason.FAILED)
                     self._forget(exchange)
@@ -249,16 +249,16 @@
     # --- callers ---
 
     def _offered(self, offer: Offer) -> None:
-        again = self.open.get(offer.call)
-        if self._sent_again(offer, again or self.standing.get(offer.call)):
+        again = self.open.get(offer.call_id)
+        if self._sent_again(offer, again or self.standing.get(offer.call_id)):
             return
         exchange = PendingCall(offer, next(self.numbers))
-        if again is not None or offer.call in self.standing:
+        if again is not None or offer.call_id in self.standing:
             # guards against whoever uses the id of another's call: it would be told that call's answer
             exchange.refuse(0.0, RefusalReason.FAILED)
             return
         kind = self.kinds.get(offer.class_name)
-        team_later = self.contracts.admit(offer.team, offer.class_name, offer.call, self.now)
+        team_later = self.contracts.admit(offer.team, offer.class_name, offer.call_id, self.now)
         if kind is None or offer.destination not in self.listed:
             exchange.refuse(
                 0.0, RefusalReason.FAILED
@@ -269,14 +269,14 @@
             exchange.refuse(0.0, RefusalReason.FORBIDDEN)
         elif len(self.open) >= OPEN_MOST or self.now >= offer.deadline_ms - LAST_MOMENT_MS:
             exchange.refuse(self._come_back())
-        elif self.now < self.refused.get(offer.call, 0.0):
+        elif self.now < self.refused.get(offer.call_id, 0.0):
             exchange.refuse(self._come_back())  # its last attempt is still being released at a lab hub
         if exchange.final or kind is None:
-            log_event("refused", call=offer.call, by="core", attempts=0, known=again is not None)
-            self.contracts.ended(offer.call)
+            log_event("refused", call=offer.call_id, by="core", attempts=0, known=again is not None)
+            self.contracts.ended(offer.call_id)
             return
-        self.open[offer.call] = self.by_number[exchange.number] = exchange
-        self._at(offer.deadline_ms - LAST_MOMENT_MS, offer.call)
+        self.open[offer.call_id] = self.by_number[exchange.number] = exchange
+        self._at(offer.deadline_ms - LAST_MOMENT_MS, offer.call_id)
         self._module(
             CallOffered(
                 exchange.number,
@@ -284,34 +284,34 @@
                 kind,
                 offer.width,
                 offer.deadline_ms - self.now,
-                advised=offer.advised,
+                advised=offer.advised_tandem,
                 in_transit=offer.in_transit,
                 again_after_cut=offer.again_after_cut,
-                called=offer.key,
+                called=offer.called_number,
             )
         )
 
     def _sent_again(self, offer: Offer, known: PendingCall | EstablishedCall | None) -> bool:
         """A set-up whose connection has ended and that comes on a new one: its answer goes there."""
-        if known is None or not offer.same_call(known.offer) or known.offer.caller.reachable():
+        if known is None or not offer.is_repeat_of(known.offer) or known.offer.caller.reachable():
             return False
         if isinstance(known, EstablishedCall):
             if self.now - known.since_ms > SENT_AGAIN_MS:
                 return False
             offer.caller.answer(known.description)
-        log_event("sent_again", call=offer.call, stands=isinstance(known, EstablishedCall))
+        log_event("sent_again", call=offer.call_id, stands=isinstance(known, EstablishedCall))
         known.offer = offer
         return True
 
     def _withdrawn(self, event: SetUpCancelled) -> None:
         # guards against whoever gives up a set-up under the id of another's call
-        exchange, standing = self.open.get(event.call), self.standing.get(event.call)
+        exchange, standing = self.open.get(event.call_id), self.standing.get(event.call_id)
         if exchange is not None:
             if exchange.offer.caller.origin is event.caller.origin and exchange.withdraw():
-                log_event("withdrawn", call=event.call, attempts=exchange.attempts)
+                log_event("withdrawn", call=event.call_id, attempts=exchange.attempts)
                 self._drop(exchange)
         elif standing is not None and standing.offer.caller.origin is event.caller.origin:
-            self._caller_released(event.call)  # it crossed the answer
+            self._caller_released(event.call_id)  # it crossed the answer
 
     def _caller_released(self, call: str) -> None:
         standing = self.standing.pop(call, None)
@@ -331,7 +331,7 @@
     def _refuse_now(self, exchange: PendingCall) -> None:
         """The core's own refusal, without asking the module; nothing where the answer has been given."""
         if exchange.refuse(self._come_back(), exchange.why):
-            log_event("refused", call=exchange.offer.call, why=exchange.why.value, by="core",
+            log_event("refused", call=exchange.offer.call_id, why=exchange.why.value, by="core",
                    attempts=exchange.attempts)  # fmt: skip
             self._drop(exchange)
 
@@ -350,12 +350,12 @@
             )  # fmt: skip
 
     def _forget(self, exchange: PendingCall) -> None:
-        self.open.pop(exchange.offer.call, None)
+        self.open.pop(exchange.offer.call_id, None)
         self.by_number.pop(exchange.number, None)
         exchange.attempt = None
-        if exchange.offer.call not in self.standing:
-            self.contracts.ended(exchange.offer.call)
-            self.refused[exchange.offer.call] = exchange.not_before
+        if exchange.offer.call_id not in self.standing:
+            self.contracts.ended(exchange.offer.call_id)
+            self.refused[exchange.offer.call_id] = exchange.not_before
             while len(self.refused) > REFUSED_MOST:
                 self.refused.popitem(last=False)
 
@@ -365,11 +365,11 @@
     # --- lab hubs ---
 
     def _current(self, attempt: Attempt) -> PendingCall | None:
-        exchange = self.open.get(attempt.offer.call)
+        exchange = self.open.get(attempt.offer.call_id)
         return exchange if exchange is not None and exchange.attempt is attempt else None
 
     def _stood(self, event: AttemptEstablished) -> None:
-        attempt, call = event.attempt, event.attempt.offer.call
+        attempt, call = event.attempt, event.attempt.offer.call_id
         exchange = self._current(attempt)
         if exchange is None:  # it crossed our giving up: what stands there for nobody is released
             standing = self.standing.get(call)
@@ -393,13 +393,13 @@
     def _ended(self, event: AttemptFailed) -> None:
         attempt = event.attempt
         exchange = self._current(attempt)
-        self._heard(attempt.hub, event.report)
+        self._heard(attempt.hub, event.load_values)
         if exchange is None:
             return
         exchange.attempt = None
         if event.ending not in UNANSWERED:
             exchange.answered_ms[attempt.hub] = self.now
-        log_event("attempt_ended", call=attempt.offer.call, hub=attempt.hub, number=attempt.number,
+        log_event("attempt_ended", call=attempt.offer.call_id, hub=attempt.hub, number=attempt.number,
                ending=event.ending.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
         timed_out = event.ending is Ending.TIMED_OUT
         exchange.why = (
@@ -409,7 +409,7 @@
             exchange.not_before = self.now + self.set.release_ms
         self._module(
             AttemptEnded(exchange.number, attempt.hub, attempt.number, event.ending, False,
-                         self.now - attempt.sent_ms, event.reason, 0.0, event.report)
+                         self.now - attempt.sent_ms, event.reason, 0.0, event.load_values)
         )  # fmt: skip
 
     def _attempt_due(self, attempt: Attempt) -> None:
@@ -431,32 +431,32 @@
         )
 
     def _hub_released(self, event: HubReleased) -> None:
-        standing = self.standing.get(event.call)
-        self._heard(event.hub, event.report)
+        standing = self.standing.get(event.call_id)
+        self._heard(event.hub, event.load_values)
         if standing is None:
             self._released_without_standing(event)
             return
         if standing.attempt.hub != event.hub:
             return  # a late word on an attempt that was given up; the call stands elsewhere
-        del self.standing[event.call]
-        self.contracts.ended(event.call)
+        del self.standing[event.call_id]
+        self.contracts.ended(event.call_id)
         standing.offer.caller.release(event.cause)
         ending = Ending.CUT if event.cause == CAUSE_CALL_CUT else Ending.ENDED
-        self._module(self._end_of(standing, ending, event.report))
+        self._module(self._end_of(standing, ending, event.load_values))
 
     def _released_without_standing(self, event: HubReleased) -> None:
         """A caller hears of an end only after its answer, or if the call is from before a restart."""
-        exchange = self.open.get(event.call)
+        exchange = self.open.get(event.call_id)
         if exchange is not None:
             current = exchange.attempt is not None and exchange.attempt.hub == event.hub
-            log_event("release_before_answer", call=event.call, hub=event.hub, current=current)
+            log_event("release_before_answer", call=event.call_id, hub=event.hub, current=current)
             if current:
                 exchange.released = event
-        elif event.call in self.refused:
-            log_event("release_ignored", call=event.call, hub=event.hub)
+        elif event.call_id in self.refused:
+            log_event("release_ignored", call=event.call_id, hub=event.hub)
         else:
-            log_event("release_of_unknown", call=event.call, hub=event.hub, cause=event.cause)
-            self.released(event.call, event.cause)
+            log_event("release_of_unknown", call=event.call_id, hub=event.hub, cause=event.cause)
+            self.released(event.call_id, event.cause)
 
     def _hub_died(self, hub: bytes, before_ms: float) -> None:
         cut = [
@@ -504,7 +504,7 @@
             exchange.refuse(come_back, why or exchange.why)
             if attempt is not None:
                 exchange.not_before = self.now + self.set.release_ms
-            log_event("refused", call=exchange.offer.call, why=(why or exchange.why).value, by="module",
+            log_event("refused", call=exchange.offer.call_id, why=(why or exchange.why).value, by="module",
                    attempts=exchange.attempts, come_back_ms=come_back)  # fmt: skip
             self._forget(exchange)
             if attempt is not None:
@@ -516,7 +516,7 @@
             return
         objection = self.guard.objection(exchange, hub, self.now)
         if objection:
-            log_text(f"set-up of {exchange.offer.call} held back: {objection}")
+            log_text(f"set-up of {exchange.offer.call_id} held back: {objection}")
             self._module(AttemptEnded(number, hub, exchange.attempts, Ending.NOT_SENT, False, 0.0))
             return
         until = exchange.deadline_ms - LAST_MOMENT_MS
--- a/landingdeal/core/events.py
+++ b/landingdeal/core/events.py
@@ -34,7 +34,7 @@
 
     def answer(self, description: bytes) -> None: ...
 
-    def refuse(self, come_back_ms: float, why: RefusalReason) -> None: ...
+    def refuse(self, retry_after_ms: float, reason: RefusalReason) -> None: ...
 
     def release(self, cause: int) -> None: ...
 
@@ -48,7 +48,7 @@
         """True if it went where nothing was heard since, while the lab hub goes on answering elsewhere."""
         ...
 
-    def release(self, hub: bytes, call: str) -> None: ...
+    def release(self, hub: bytes, call_id: str) -> None: ...
 
     def probe(self, hub: bytes, deadline_ms: float) -> None: ...
 
@@ -57,7 +57,7 @@
 class Offer:
     """A set-up as the caller sent it. `uri` and `description` are passed on unchanged."""
 
-    call: str
+    call_id: str
     uri: str
     class_name: str
     destination: int
@@ -65,17 +65,17 @@
     description: bytes
     caller: CallerResponder
     facts: str = ""
-    key: int = 0
+    called_number: int = 0
     width: int = 1
-    advised: int = -1
+    advised_tandem: int = -1
     in_transit: bool = False
     again_after_cut: bool = False
     team: str = ""
 
-    def same_call(self, other: Offer) -> bool:
+    def is_repeat_of(self, earlier: Offer) -> bool:
         """The same set-up come again, and not another one under its id."""
         return (self.uri, self.class_name, self.facts, self.description) == (
-            other.uri, other.class_name, other.facts, other.description
+            earlier.uri, earlier.class_name, earlier.facts, earlier.description
         )  # fmt: skip
 
 
@@ -94,7 +94,7 @@
 class SetUpCancelled:
     """The caller stopped waiting; no answer is owed."""
 
-    call: str
+    call_id: str
     caller: CallerResponder
 
 
@@ -102,7 +102,7 @@
 class CallerStreamBroken:
     """What the caller's connection carries can't be read any further: an answer is owed, and at once."""
 
-    call: str
+    call_id: str
     caller: CallerResponder
 
 
@@ -119,22 +119,22 @@
     attempt: Attempt
     ending: Ending
     reason: Reason = Reason.NONE
-    report: tuple[float, ...] = ()
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class HubReleased:
     """A lab hub released a call; it may be one from before this program started."""
 
-    call: str
+    call_id: str
     hub: bytes
     cause: int
-    report: tuple[float, ...] = ()
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class CallerReleased:
-    call: str
+    call_id: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,15 +148,15 @@
 @dataclass(frozen=True, slots=True)
 class LoadReported:
     hub: bytes
-    figures: tuple[float, ...]
+    load_values: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeCompleted:
     hub: bytes
-    well: bool
+    succeeded: bool
     latency_ms: float
-    figures: tuple[float, ...] = ()
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -177,7 +177,7 @@
 class StopRequested:
     """Answer what is open, then end. The kill is counted from when it was asked."""
 
-    asked_ms: float
+    requested_ms: float
 
 
 CoreEvent = (
--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -212,7 +212,7 @@
             open_here[message.call_id] = caller
         steps.at(steps.TAKEN)
         if not self.inbox.offer(offer):  # guards against a caller left unanswered by a full inbox
-            log_event("refused", call=offer.call, by="front", closed=self.inbox.closed)
+            log_event("refused", call=offer.call_id, by="front", closed=self.inbox.closed)
             caller.refuse(self.later_ms, RefusalReason.UNAVAILABLE)
 
     def closed_set_up(self, caller: CallerTransaction) -> None:
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -331,7 +331,7 @@
         if left <= 0:
             return True  # its end is told by the core's own timer
         message = request(
-            "INVITE", offer.uri, self.via, ("call-id", offer.call), ("cseq", "1 INVITE"),
+            "INVITE", offer.uri, self.via, ("call-id", offer.call_id), ("cseq", "1 INVITE"),
             ("subject", offer.class_name), ("x-patience", str(left)), ("x-facts", offer.facts),
             body=offer.description,
         )  # fmt: skip
@@ -339,7 +339,7 @@
             here = hub.open.get(link)
             if here is None or not link.send(message):
                 return False
-            here[offer.call] = attempt
+            here[offer.call_id] = attempt
             if link.unanswered_ms <= link.heard_ms:
                 link.unanswered_ms = now_ms()
         return True
@@ -353,11 +353,11 @@
                 hub.waiting.remove(attempt)
                 return False
             link = next(
-                (on for on, calls in hub.open.items() if calls.get(attempt.offer.call) is attempt), None
+                (on for on, calls in hub.open.items() if calls.get(attempt.offer.call_id) is attempt), None
             )
             if link is not None:
-                del hub.open[link][attempt.offer.call]
-                link.given_up[attempt.offer.call] = None
+                del hub.open[link][attempt.offer.call_id]
+                link.given_up[attempt.offer.call_id] = None
                 if len(link.given_up) > GIVEN_UP_MOST:
                     link.given_up.pop(next(iter(link.given_up)))
             mute = link is not None and link is not hub.link and link.heard_ms < attempt.sent_ms
@@ -366,7 +366,7 @@
             if hub.link is not None and waited and hub.link.heard_ms < attempt.sent_ms:
                 self._doubt(hub)
             if link is not None:
-                call, uri = attempt.offer.call, attempt.offer.uri
+                call, uri = attempt.offer.call_id, attempt.offer.uri
                 link.send(request("CANCEL", uri, self.via, ("call-id", call), ("cseq", "1 CANCEL")))
         return mute
 
--- a/landingdeal/net/set_up.py
+++ b/landingdeal/net/set_up.py
@@ -57,7 +57,7 @@
     if not message.body.endswith(b"\r\n"):  # its length was wrong, or there is none
         raise ValueError("description")
     return Offer(
-        call=hex_digits(message.call_id),
+        call_id=hex_digits(message.call_id),
         uri=message.uri,
         class_name=message.get("subject"),
         destination=facts["dest"],
@@ -65,9 +65,9 @@
         description=message.body,
         caller=caller,
         facts=message.get("x-facts"),
-        key=int(number, 16),
+        called_number=int(number, 16),
         width=facts.get("width", 1),
-        advised=facts.get("via", -1),
+        advised_tandem=facts.get("via", -1),
         in_transit=bool(facts.get("transit", 0)),
         again_after_cut=bool(facts.get("again", 0)),
         team=message.get("organization"),
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -168,14 +168,14 @@
         transaction.respond(response(message, 100))
         call.caller = SipCaller(self, call)
         offer = Offer(
-            call=call.key,
+            call_id=call.key,
             uri=message.uri,
             class_name=self._class_of(message),
             destination=number,
             deadline_ms=self.now() + patience,
             description=message.body,
             caller=call.caller,
-            key=int.from_bytes(hashlib.blake2b(user.encode(), digest_size=8).digest(), "big"),
+            called_number=int.from_bytes(hashlib.blake2b(user.encode(), digest_size=8).digest(), "big"),
             team=message.get("organization"),
         )
         if len(self.calls) >= CALLS_MOST or not self.inbox.offer(offer):
@@ -289,7 +289,7 @@
     # --- attempts ---
 
     def _set_up(self, attempt: Attempt) -> None:
-        hub, call = self.hubs.get(attempt.hub), self.calls.get(attempt.offer.call)
+        hub, call = self.hubs.get(attempt.hub), self.calls.get(attempt.offer.call_id)
         if hub is None or call is None:
             self.inbox.tell(AttemptFailed(attempt, Ending.UNREACHABLE))
             return
@@ -379,7 +379,7 @@
         flow.send(side.ack)
 
     def _cancel(self, attempt: Attempt) -> None:
-        call = self.calls.get(attempt.offer.call)
+        call = self.calls.get(attempt.offer.call_id)
         leg = call.legs.get(attempt.number) if call is not None else None
         if leg is not None:
             self._cancel_leg(leg)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -283,7 +283,7 @@
         monkeypatch.setattr(link, "on_message", fails)
     front.set_up("b")
     (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
-    assert isinstance(event, CallerStreamBroken) and event.call == "a"
+    assert isinstance(event, CallerStreamBroken) and event.call_id == "a"
     offer.caller.refuse(0.0, RefusalReason.UNAVAILABLE)
     assert front.reads().startswith(b"SIP/2.0 503")
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -559,7 +559,7 @@
     hubs.probe(b"h", now_ms() + 250)
     hubs.watch(now_ms() + 251)
     (event,) = inbox.take(now_ms())
-    assert isinstance(event, ProbeCompleted) and not event.well and 249 < event.latency_ms <= 250
+    assert isinstance(event, ProbeCompleted) and not event.succeeded and 249 < event.latency_ms <= 250
 
 
 @pytest.mark.parametrize(
