--- a/landingdeal/core/guard.py
+++ b/landingdeal/core/guard.py
@@ -7,75 +7,84 @@
 from badgerstile.interface import ExchangeList, Health, ListKind, Settings
 from landingdeal.core.exchange import PendingCall
 
-SHARE_OF_BUDGET = 0.8  # of what a cold processor may be sent; the rest is left for chance
+COLD_LIMIT_SHARE = 0.8  # of what a cold processor may be sent; the rest is left for chance
 
-GONE_MOST = 32  # lab hubs that are gone and still known here, the last ones
+MAX_GONE_HUBS = 32  # lab hubs that are gone and still known here, the last ones
 
 
 class GuardedHub:
     """What the guard knows of one lab hub."""
 
-    __slots__ = ("health", "came_up_ms", "room_per_s", "sends")
+    __slots__ = ("health", "came_up_ms", "capacity_per_s", "send_times_ms")
 
     def __init__(self) -> None:
         self.health, self.came_up_ms = Health.READY, 0.0
-        self.room_per_s = 0.0  # the most it ever said that it can take from all senders
-        self.sends: deque[float] = deque(maxlen=256)
+        self.capacity_per_s = 0.0  # the most it ever said that it can take from all senders
+        self.send_times_ms: deque[float] = deque(maxlen=256)
 
 
 class Guard:
     def __init__(self, settings: Settings) -> None:
-        self.set = settings
+        self.settings = settings
         self.hubs: dict[bytes, GuardedHub] = {}
 
-    def news(self, change: ExchangeList) -> None:
-        named = set()
+    def update_hubs(self, change: ExchangeList) -> None:
+        listed = set()
         for entry in change.entries:
-            named.add(entry.exchange)
+            listed.add(entry.exchange)
             hub = self.hubs.setdefault(entry.exchange, GuardedHub())
             hub.health = entry.health
             hub.came_up_ms = max(hub.came_up_ms, entry.came_up_ms)
         if change.kind in (ListKind.WHOLE, ListKind.REMEMBERED):
             for name, hub in self.hubs.items():
-                if name not in named:
+                if name not in listed:
                     hub.health = Health.GONE
         gone = [name for name, hub in self.hubs.items() if hub.health is Health.GONE]
-        for name in gone[:-GONE_MOST]:  # guards the memory on days when each lab hub is a new one
+        for name in gone[:-MAX_GONE_HUBS]:  # guards the memory on days when each lab hub is a new one
             del self.hubs[name]
 
-    def room(self, name: bytes, per_s: float) -> None:
+    def update_capacity(self, name: bytes, per_s: float) -> None:
         hub = self.hubs.get(name)
         if hub is not None:
-            hub.room_per_s = max(hub.room_per_s, per_s)
+            hub.capacity_per_s = max(hub.capacity_per_s, per_s)
 
-    def objection(self, exchange: PendingCall, name: bytes, now: float) -> str:
+    def objection(self, call: PendingCall, name: bytes, now: float) -> str:
         """Why this set-up may not go out now; empty if it may."""
         hub = self.hubs.get(name)
-        if exchange.final or now >= exchange.deadline_ms:
+        if call.concluded or now >= call.deadline_ms:
             return "rule 1: the call has had its answer or its time is up"
-        if exchange.attempt is not None:
+        if call.attempt is not None:
             return "rule 2: an attempt is out"
         if hub is None:
             return "the lab hub is in no list"
         if hub.health is not Health.READY:  # no use is made of the grace: what was told holds at once
             return "rule 3: the lab hub drains or is gone"
-        if now < exchange.not_before:
+        if now < call.not_before_ms:
             return "rule 5: the release of the last attempt is awaited"
-        if exchange.attempts >= self.set.max_attempts:
+        if call.attempt_count >= self.settings.max_attempts:
             return "the call has had all its attempts"
-        if self._over_budget(hub, now):
+        if self._exceeds_cold_limit(hub, now):
             return "rule 4: the lab hub's processor is cold and has had its share"
         return ""
 
-    def sent(self, name: bytes, now: float) -> None:
-        self.hubs[name].sends.append(now)
+    def record_send(self, name: bytes, now: float) -> None:
+        self.hubs[name].send_times_ms.append(now)
 
-    def _over_budget(self, hub: GuardedHub, now: float) -> bool:
+    def _exceeds_cold_limit(self, hub: GuardedHub, now: float) -> bool:
         """Guards a cold processor against the sum of all border controllers: each keeps to its own part."""
-        age = now - hub.came_up_ms
-        if hub.came_up_ms <= 0 or age >= self.set.cold_ms or hub.room_per_s <= 0:
+        age_ms = now - hub.came_up_ms
+        if hub.came_up_ms <= 0 or age_ms >= self.settings.cold_ms or hub.capacity_per_s <= 0:
             return False
-        ramp = self.set.cold_from + (1 - self.set.cold_from) * max(age, 0.0) / self.set.cold_ms
-        budget = hub.room_per_s * ramp * self.set.fall_multiple * self.set.fall_ms / 1000 * SHARE_OF_BUDGET
-        window = sum(1 for at in hub.sends if now - at < self.set.fall_ms)
-        return window + 1 > max(budget / max(self.set.softswitches - 1, 1), 2.0)
+        ramp = (
+            self.settings.cold_from + (1 - self.settings.cold_from) * max(age_ms, 0.0) / self.settings.cold_ms
+        )
+        max_set_ups = (
+            hub.capacity_per_s
+            * ramp
+            * self.settings.fall_multiple
+            * self.settings.fall_ms
+            / 1000
+            * COLD_LIMIT_SHARE
+        )
+        recent_set_ups = sum(1 for sent_ms in hub.send_times_ms if now - sent_ms < self.settings.fall_ms)
+        return recent_set_ups + 1 > max(max_set_ups / max(self.settings.softswitches - 1, 1), 2.0)
--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -51,12 +51,12 @@
         self.unheard: OrderedDict[str, tuple[float, int]] = OrderedDict()
         self.told: deque[tuple[float, str, int, CallerLink]] = deque(maxlen=UNHEARD_MOST)
         self.ready = threading.Event()
-        self.life.doors += 1
-        self.door = Door(host, port, self._accepted, lambda: self.life.accepts, self._shut)
-        self.life.watchers.append(self.door.wake)
+        self.life.open_listeners += 1
+        self.door = Door(host, port, self._accepted, lambda: self.life.accepts_connections, self._shut)
+        self.life.phase_listeners.append(self.door.wake)
 
     def _shut(self) -> None:
-        self.life.doors -= 1
+        self.life.open_listeners -= 1
 
     def flush(self) -> int:
         """After the core has ended: refuses what is still owed, closes what may go; how many may not yet."""
@@ -70,7 +70,7 @@
 
     def _close_if_idle(self, link: CallerLink) -> bool:
         """Guards whoever has asked meanwhile. Under the lock: no set-up can be opened on it in between."""
-        steps.at(steps.CLOSING)
+        steps.reached(steps.CLOSING)
         with self.lock:
             open_here = self.links.get(link)
             if open_here is None or not may_close(link.held(len(open_here))):
@@ -130,7 +130,7 @@
         with self.lock:
             open_here = list(self.links.get(link, {}).items())
         for call, caller in open_here:
-            self.inbox.tell(CallerStreamBroken(call, caller))
+            self.inbox.put(CallerStreamBroken(call, caller))
 
     def _ended(self, link: CallerLink, reset: bool) -> None:
         with self.lock:
@@ -142,7 +142,7 @@
         log_event("caller_closed", link=link.number, why=link.why or ("reset" if reset else "by the caller"),
                open=len(open_here), unsent=link.unsent())  # fmt: skip
         for call, caller in open_here.items():
-            self.inbox.tell(SetUpCancelled(call, caller))
+            self.inbox.put(SetUpCancelled(call, caller))
         for call, cause in again:  # guards against a release written into a connection just being closed
             self.release(call, cause, link)
 
@@ -168,10 +168,10 @@
                 self._cancel(link, message)
             case "BYE":
                 link.send(response(message, 200))
-                self.inbox.tell(CallerReleased(message.call_id))
+                self.inbox.put(CallerReleased(message.call_id))
             case "OPTIONS":
                 self._trusted(link)
-                well = self.ready.is_set() and self.life.well
+                well = self.ready.is_set() and self.life.healthy
                 link.send(response(message, 200 if well else 503))
             case "ACK":
                 pass
@@ -185,7 +185,7 @@
         if transaction is None:
             transaction = CallerTransaction(self, link, message)
         transaction.give_up()
-        self.inbox.tell(SetUpCancelled(message.call_id, transaction))
+        self.inbox.put(SetUpCancelled(message.call_id, transaction))
 
     def _repeated(self, link: CallerLink, call: str) -> bool:
         """Whether a set-up under this id has come on this connection: its one answer serves both."""
@@ -210,7 +210,7 @@
         with self.lock:
             open_here = self.links.get(link, {})
             open_here[message.call_id] = caller
-        steps.at(steps.TAKEN)
+        steps.reached(steps.REGISTERED)
         if not self.inbox.offer(offer):  # guards against a caller left unanswered by a full inbox
             log_event("refused", call=offer.call_id, by="front", closed=self.inbox.closed)
             caller.refuse(self.later_ms, RefusalReason.UNAVAILABLE)
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -108,9 +108,9 @@
             lost = self._no_longer_waiting(hub) if hub.draining else []
             hub.wake.notify()
         for attempt in lost:
-            self.inbox.tell(AttemptFailed(attempt, Ending.UNREACHABLE))
+            self.inbox.put(AttemptFailed(attempt, Ending.UNREACHABLE))
         if cut:  # the reset was the end of its process after all
-            self.inbox.tell(HubFailed(name, cut))
+            self.inbox.put(HubFailed(name, cut))
         if keep:
             start_supervised_thread("keeper", lambda: self._keep(hub))
 
@@ -129,7 +129,7 @@
             old.wake.notify()
         for link in links:
             link.end("another has its address")
-        self.inbox.tell(HubFailed(old.name, now_ms()))
+        self.inbox.put(HubFailed(old.name, now_ms()))
 
     def start(self) -> None:
         def watch() -> None:
@@ -169,7 +169,7 @@
                 if hub.gone and hub.written_off:
                     spare, over = list(hub.open), not hub.kept and not hub.open
             for probing in lost:
-                self.inbox.tell(ProbeCompleted(hub.name, False, probing.deadline_ms - probing.sent_ms))
+                self.inbox.put(ProbeCompleted(hub.name, False, probing.deadline_ms - probing.sent_ms))
             for link in unsure:
                 # replaced while it was silent: a process that was restarted meanwhile answers with a reset
                 link.send(self._test(f"{0:016x}"))
@@ -179,7 +179,7 @@
                 log_text(
                     f"{hub.name!r} has said nothing for {silent / 1000:.1f} s: its calls are taken as over"
                 )
-                self.inbox.tell(HubFailed(hub.name, now))
+                self.inbox.put(HubFailed(hub.name, now))
             if over:  # guards the memory and the threads on days when each lab hub is a new one
                 with self.lock:
                     self.hubs.pop(hub.name, None)
@@ -229,11 +229,11 @@
                     lost = [a for a in hub.waiting if refused or now >= a.sent_ms + self.dial_ms - 1]
                     hub.waiting = [a for a in hub.waiting if a not in lost]
                 for attempt in lost:
-                    self.inbox.tell(AttemptFailed(attempt, Ending.UNREACHABLE))
+                    self.inbox.put(AttemptFailed(attempt, Ending.UNREACHABLE))
                 if died:
                     # a connection that was reset proves nothing: peers reset idle ones too, and their calls
                     # stand. Where the next is refused, or two are, nobody is there any more to hold them
-                    self.inbox.tell(HubFailed(hub.name, died))
+                    self.inbox.put(HubFailed(hub.name, died))
                 with hub.wake:
                     if not hub.gone and not hub.waiting:
                         hub.wake.wait(seconds_until(now_ms() + REDIAL_MS))
@@ -243,9 +243,9 @@
             )
             self._connected(hub, link)
         if died:
-            self.inbox.tell(HubFailed(hub.name, died))
+            self.inbox.put(HubFailed(hub.name, died))
         for attempt in waiting:
-            self.inbox.tell(AttemptFailed(attempt, Ending.UNREACHABLE))
+            self.inbox.put(AttemptFailed(attempt, Ending.UNREACHABLE))
 
     def _connected(self, hub: Hub, link: HubLink) -> None:
         """What waited goes out under one lock: whoever calls an attempt off finds it waiting, or sent."""
@@ -268,10 +268,10 @@
             self._ended(hub, link, reset=False)
             raise
         if late:  # it took a while to come back: another process
-            self.inbox.tell(HubFailed(hub.name, late))
+            self.inbox.put(HubFailed(hub.name, late))
         log_text(f"connected to {hub.name!r}")
         for attempt in lost:
-            self.inbox.tell(AttemptFailed(attempt, Ending.UNREACHABLE))
+            self.inbox.put(AttemptFailed(attempt, Ending.UNREACHABLE))
 
     def _ended(self, hub: Hub, link: HubLink, reset: bool) -> None:
         with hub.wake:
@@ -290,9 +290,9 @@
         for attempt in cut:
             # given up with its connection, which proves nothing of its lab hub: one that is gone refuses the
             # next. Guards against trying a healthy hub one call at a time, and pacing it as if newly started
-            self.inbox.tell(AttemptFailed(attempt, Ending.CANCELLED))
+            self.inbox.put(AttemptFailed(attempt, Ending.CANCELLED))
         if reset and doubted:  # it had been silent: whoever answers there now knows nothing of it
-            self.inbox.tell(HubFailed(hub.name, before))
+            self.inbox.put(HubFailed(hub.name, before))
 
     def _doubt(self, hub: Hub) -> None:
         """A silent connection may be dead: a new one is tried, and set-ups wait for that.
@@ -312,7 +312,7 @@
     def set_up(self, attempt: Attempt) -> None:
         hub = self._hub(attempt.hub)
         if hub is None:
-            self.inbox.soon(AttemptFailed(attempt, Ending.UNREACHABLE))
+            self.inbox.put_from_core(AttemptFailed(attempt, Ending.UNREACHABLE))
             return
         with hub.wake:
             link = hub.link
@@ -322,7 +322,7 @@
                 hub.wake.notify()
                 return
         if link is None or not up or not self._send(hub, link, attempt):
-            self.inbox.soon(AttemptFailed(attempt, Ending.UNREACHABLE))
+            self.inbox.put_from_core(AttemptFailed(attempt, Ending.UNREACHABLE))
 
     def _send(self, hub: Hub, link: HubLink, attempt: Attempt) -> bool:
         """False: it did not go out, and nothing else will tell of its end."""
@@ -420,9 +420,9 @@
             case "BYE":
                 link.send(response(message, 200))
                 figures = figures_of(message, self.set)
-                self.inbox.tell(HubReleased(message.call_id, hub.name, cause_of(message), figures))
+                self.inbox.put(HubReleased(message.call_id, hub.name, cause_of(message), figures))
             case "NOTIFY":
-                self.inbox.tell(LoadReported(hub.name, figures_of(message, self.set)))
+                self.inbox.put(LoadReported(hub.name, figures_of(message, self.set)))
             case "OPTIONS":
                 link.send(response(message, 200))
             case _:
@@ -448,11 +448,11 @@
                 self._unwanted(hub, link, call)
             return
         if message.status < 300:
-            self.inbox.tell(AttemptEstablished(attempt, message.body))
+            self.inbox.put(AttemptEstablished(attempt, message.body))
             return
         ending = ENDINGS.get(message.status, Ending.ERROR)
         reason = reason_of(message)
-        self.inbox.tell(AttemptFailed(attempt, ending, reason, figures_of(message, self.set)))
+        self.inbox.put(AttemptFailed(attempt, ending, reason, figures_of(message, self.set)))
 
     def _unwanted(self, hub: Hub, link: Link, call: str) -> None:
         """An answer that crossed our CANCEL: what stands for nobody is released, unless sent there again."""
@@ -467,6 +467,6 @@
         if probing is not None:
             now = now_ms()
             well = message.status < 300 and now <= probing.deadline_ms
-            self.inbox.tell(
+            self.inbox.put(
                 ProbeCompleted(hub.name, well, max(now - probing.sent_ms, 0.1), figures_of(message, self.set))
             )
--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -156,7 +156,7 @@
             if outgoing is None:
                 break
             try:
-                steps.at(steps.WRITING)
+                steps.reached(steps.WRITING)
                 if outgoing.wanted is None or outgoing.wanted():
                     self.sock.sendall(outgoing.data)
                 self.waiting.task_done()
@@ -219,7 +219,7 @@
             data = self.sock.recv(READ_SIZE)
             if not data:
                 return self.alive and self._torn()
-            steps.at(steps.READ)
+            steps.reached(steps.READ)
             self.heard_ms = now_ms()
             began, whole = bool(framer.held), False
             for message in framer.feed(data):
@@ -373,7 +373,7 @@
                     time.sleep(seconds_until(now_ms() + NO_ROOM_MS))
                     return
                 continue  # it was gone before it was taken
-            steps.at(steps.ACCEPTED)
+            steps.reached(steps.ACCEPTED)
             try:
                 sock.setblocking(True)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/landingdeal/net/transaction.py
+++ b/landingdeal/net/transaction.py
@@ -82,11 +82,11 @@
         if not self._move(State.DECIDED, State.OPEN):
             log_event("answer_dropped", call=self.invite.call_id, state=self._state.value)
             return
-        steps.at(steps.ANSWERED)
+        steps.reached(steps.ANSWERED)
         if stands:
             self.link.trust = 2
         self.link.send(made(), wanted=self._begins)
-        steps.at(steps.QUEUED)
+        steps.reached(steps.QUEUED)
         self.front.closed_set_up(self)
 
     def _begins(self) -> bool:
--- a/landingdeal/service/life.py
+++ b/landingdeal/service/life.py
@@ -33,9 +33,9 @@
 
 def run(broker: Broker, flush: Callable[[], int], signals: Signals, reread: Callable[[], None]) -> None:
     """Until SIGTERM, then until every call has its answer and `flush` counts nothing left to be written."""
-    life = broker.life
-    life.watchers.append(lambda: log_event("phase", now=life.phase.name))
-    signals.carry_out(lambda at_ms: broker.inbox.tell(StopRequested(at_ms)), lambda: reload(reread))
+    life = broker.lifecycle
+    life.phase_listeners.append(lambda: log_event("phase", now=life.phase.name))
+    signals.carry_out(lambda at_ms: broker.inbox.put(StopRequested(at_ms)), lambda: reload(reread))
     core = start_thread("core", broker.run, START_TIMEOUT_MS)
     while core.is_alive():
         core.join(1.0)
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -47,7 +47,7 @@
     def told(event: TopologyEvent) -> None:
         for one in event.addresses:
             hubs.known(one.name, one.where, one.health is Health.GONE, one.health is Health.DRAINING)
-        inbox.tell(HubListChanged(event.change))
+        inbox.put(HubListChanged(event.change))
 
     def ready() -> None:
         until = now_ms() + READY_MS
@@ -63,7 +63,7 @@
     def reread() -> None:
         new, budgets = read_platform(path), read_contracts_of(where)
         bus.move(new.bus, new.known)
-        inbox.tell(ContractsChanged(budgets))
+        inbox.put(ContractsChanged(budgets))
 
     bus.start()
     start_supervised_thread("ready", ready)
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -49,14 +49,14 @@
     contracts = Contracts(operator.contracts)
     broker = Broker(operator.settings, seed, inbox, front, lambda call, cause: None, contracts, life)
     listed = tuple(Listed(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
-    inbox.tell(HubListChanged(ExchangeList(ListKind.REMEMBERED, listed)))
+    inbox.put(HubListChanged(ExchangeList(ListKind.REMEMBERED, listed)))
     front.start(capture)
     log_text(f"SIP front on {operator.sip.host}:{operator.sip.port}, UDP and TCP")
     run(
         broker,
         front.flush,
         signals,
-        lambda: inbox.tell(ContractsChanged(read_operator_file(where).contracts)),
+        lambda: inbox.put(ContractsChanged(read_operator_file(where).contracts)),
     )
     if sink is not None:
         sink.end(now_ms() + SINK_MS)
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -213,7 +213,7 @@
 
     def _withdraw(self, call: Call) -> None:
         call.server.respond(self._reply(call.server.request, 487, tag=call.tag))
-        self.inbox.tell(SetUpCancelled(call.key, call.caller))
+        self.inbox.put(SetUpCancelled(call.key, call.caller))
 
     def new_ack(self, message: Message, key: str, flow: Flow) -> None:
         invite = self.servers.get(f"{key}|INVITE")
@@ -235,7 +235,7 @@
     def answer_call(self, call: Call, description: bytes) -> None:
         invite, hub_side = call.server.request, call.hub_side
         if call.server.answered or call.key not in self.calls:
-            self.inbox.tell(CallerReleased(call.key))  # it crossed a CANCEL: what stands is released
+            self.inbox.put(CallerReleased(call.key))  # it crossed a CANCEL: what stands is released
             return
         kind = ("content-type", call.answer_kind)
         flow = call.server.flow
@@ -291,7 +291,7 @@
     def _set_up(self, attempt: Attempt) -> None:
         hub, call = self.hubs.get(attempt.hub), self.calls.get(attempt.offer.call_id)
         if hub is None or call is None:
-            self.inbox.tell(AttemptFailed(attempt, Ending.UNREACHABLE))
+            self.inbox.put(AttemptFailed(attempt, Ending.UNREACHABLE))
             return
         left = attempt.deadline_ms - self.now()
         if left <= 0:
@@ -339,7 +339,7 @@
             reason = Reason.PROCESSOR_FULL
         elif message.status in BUSY:
             reason = Reason.LINES_BUSY
-        self.inbox.tell(AttemptFailed(leg.attempt, ending, reason, figures_of(message, self.set)))
+        self.inbox.put(AttemptFailed(leg.attempt, ending, reason, figures_of(message, self.set)))
 
     def _stands(self, leg: Leg, message: Message) -> None:
         transaction, call = leg.transaction, leg.call
@@ -369,7 +369,7 @@
             return
         call.hub_side = side
         call.answer_kind = message.get("content-type", call.answer_kind)
-        self.inbox.tell(AttemptEstablished(leg.attempt, message.body))
+        self.inbox.put(AttemptEstablished(leg.attempt, message.body))
 
     def _acknowledge(self, side: Side, caller_ack: Message | None) -> None:
         dialog, flow = side.dialog, self._flow_for(side.dialog)
@@ -424,7 +424,7 @@
         if hub.circuits:
             told = {Figure.FREE_CIRCUITS: hub.circuits - self.used[hub.name], Figure.GROUP_SIZE: hub.circuits}
             figures = tuple(float(told.get(figure, -1)) for figure in self.set.figures)
-            self.inbox.tell(LoadReported(hub.name, figures))
+            self.inbox.put(LoadReported(hub.name, figures))
 
     def _probe(self, name: bytes, deadline_ms: float) -> None:
         hub, asked = self.hubs[name], self.now()
@@ -435,7 +435,7 @@
             if not done and message.status >= 200:
                 done = True
                 well = message.status < 300
-                self.inbox.tell(
+                self.inbox.put(
                     ProbeCompleted(name, well, self.now() - asked + 0.1, figures_of(message, self.set))
                 )
 
@@ -602,9 +602,9 @@
                     self._bye(side, cause)
         if gone is not None and not gone.caller:
             hub = next((leg.hub.name for leg in call.legs.values() if gone in leg.sides.values()), b"")
-            self.inbox.tell(HubReleased(call.key, hub, cause))
+            self.inbox.put(HubReleased(call.key, hub, cause))
         else:
-            self.inbox.tell(CallerReleased(call.key))
+            self.inbox.put(CallerReleased(call.key))
 
     def _release_hub(self, hub: bytes, key: str) -> None:
         call = self.calls.get(key)
--- a/landingdeal/sip/transport.py
+++ b/landingdeal/sip/transport.py
@@ -120,13 +120,15 @@
         self.udp.bind((host, port))
 
     def start(self) -> None:
-        self.life.doors += 1
-        self.door = Door(self.host, self.port, self._accepted, lambda: self.life.accepts, self._shut)
-        self.life.watchers.append(self.door.wake)
+        self.life.open_listeners += 1
+        self.door = Door(
+            self.host, self.port, self._accepted, lambda: self.life.accepts_connections, self._shut
+        )
+        self.life.phase_listeners.append(self.door.wake)
         start_thread("udp", self._read_udp)
 
     def _shut(self) -> None:
-        self.life.doors -= 1
+        self.life.open_listeners -= 1
 
     def unsent(self) -> int:
         """Connections on which something is still to be written."""
--- a/tests/rig/front.py
+++ b/tests/rig/front.py
@@ -24,7 +24,7 @@
     def __init__(self, step: str) -> None:
         self.step, self.came, self.go = step, threading.Event(), threading.Event()
         self.once = threading.Lock()
-        steps.hold = self._at
+        steps.hook = self._at
 
     def _at(self, step: str) -> None:
         if step == self.step and self.once.acquire(blocking=False):
@@ -72,6 +72,6 @@
         return self.sock.recv(65536)
 
     def end(self) -> None:
-        self.life.stop(0.0)
+        self.life.request_stop(0.0)
         self.life.core_stopped(0.0)
         self.sock.close()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -86,8 +86,8 @@
 
     def give(self, *events: object) -> None:
         for event in events:
-            self.inbox.tell(event)  # type: ignore[arg-type]
-        self.broker.turn()
+            self.inbox.put(event)  # type: ignore[arg-type]
+        self.broker.run_once()
 
     def offer(self, call: str = "a", patience: float = 4000.0, team: str = "", kind: str = "voice") -> Offer:
         made = Offer(call, f"sip:{call}@net", kind, 1, now_ms() + patience, b"body", self.caller, team=team)
@@ -118,7 +118,7 @@
         AttemptFailed(stage.hubs.sent[0], ending, reason), AttemptFailed(stage.hubs.sent[0], ending, reason)
     )
     assert stage.caller.told == [why]
-    assert not stage.broker.open and not stage.broker.by_number
+    assert not stage.broker.pending and not stage.broker.pending_by_number
 
 
 def test_an_answer_after_the_caller_left_is_released() -> None:
@@ -151,14 +151,14 @@
     stage.give(AttemptEstablished(stage.hubs.sent[0], b"theirs"))
     stage.give(other, SetUpCancelled("a", thief))
     assert thief.told == [RefusalReason.FAILED, RefusalReason.FAILED]
-    assert stage.caller.told == [b"theirs"] and stage.hubs.done == [] and "a" in stage.broker.standing
+    assert stage.caller.told == [b"theirs"] and stage.hubs.done == [] and "a" in stage.broker.established
 
 
 def test_a_number_that_no_hub_ever_had_is_refused_and_leaves_nothing_behind() -> None:
     stage = Stage()
     stage.give(Offer("a", "sip:a@net", "voice", 99, now_ms() + 4000, b"body", stage.caller))
     assert stage.caller.told == [RefusalReason.FAILED]
-    assert not stage.broker.switch.rates and not stage.broker.open
+    assert not stage.broker.switch.rates and not stage.broker.pending
 
 
 def test_a_later_start_of_its_process_ends_what_stood_at_a_hub() -> None:
@@ -174,12 +174,16 @@
     stage = Stage()
     stage.offer(patience=9000.0)
     stage.give(StopRequested(stage.broker.now))
-    life = stage.broker.life
-    life.check_core(1, 0, now_ms() + life.times.takes)
-    assert stage.caller.told == [] and life.core_runs and life.due_ms - now_ms() < 3700
-    life.stop_ms -= life.times.answers  # that much later
-    stage.broker.turn()
-    assert stage.caller.told == [RefusalReason.UNAVAILABLE] and not stage.broker.open and not life.core_runs
+    life = stage.broker.lifecycle
+    life.check_core(1, 0, now_ms() + life.times.refuse_after_ms)
+    assert stage.caller.told == [] and life.core_running and life.phase_deadline_ms - now_ms() < 3700
+    life.stop_ms -= life.times.answer_by_ms  # that much later
+    stage.broker.run_once()
+    assert (
+        stage.caller.told == [RefusalReason.UNAVAILABLE]
+        and not stage.broker.pending
+        and not life.core_running
+    )
 
 
 @pytest.mark.parametrize("mute", [True, False])
@@ -189,9 +193,11 @@
     stage.offer()
     far = stage.broker.switch.far[HUB]
     wide = far.window
-    stage.broker._attempt_due(stage.hubs.sent[0])
+    stage.broker._handle_attempt_timeout(stage.hubs.sent[0])
     assert (far.window < wide) is not mute
-    assert stage.caller.told == [] and stage.broker.open["a"].not_before > now_ms()  # rule 5 holds either way
+    assert (
+        stage.caller.told == [] and stage.broker.pending["a"].not_before_ms > now_ms()
+    )  # rule 5 holds either way
 
 
 def test_hubs_that_come_and_go_stay_in_no_table() -> None:
@@ -221,7 +227,7 @@
     stage.offer(patience=60.0)
     until = now_ms() + 5000
     while not stage.caller.told and now_ms() < until:
-        stage.broker.turn()
+        stage.broker.run_once()
     assert stage.caller.told == [RefusalReason.UNAVAILABLE]
 
 
@@ -244,7 +250,7 @@
     assert [kept.admit("payments", "voice", str(n), 0.0) for n in range(3)] == [0.0, 0.0, 500.0]
     assert kept.admit("payments", "voice", "2", 500.0) == 0.0
     assert kept.admit("payments", "voice", "3", 5000.0) > 0  # three at once already
-    kept.ended("2")
+    kept.call_ended("2")
     assert kept.admit("payments", "voice", "3", 5000.0) == 0.0
     assert Contracts(()).admit("anyone", "data", "x", 0.0) == 0.0
 
@@ -261,36 +267,36 @@
 
 def guarded() -> tuple[Guard, PendingCall]:
     guard = Guard(SET)
-    guard.news(ExchangeList(ListKind.WHOLE, (Listed(HUB, 1, Health.READY, 0.0),)))
+    guard.update_hubs(ExchangeList(ListKind.WHOLE, (Listed(HUB, 1, Health.READY, 0.0),)))
     return guard, PendingCall(Offer("a", "sip:a@net", "voice", 1, 9000.0, b"", Caller()), 1)
 
 
 def test_the_guard_keeps_each_rule() -> None:
     guard, exchange = guarded()
     assert guard.objection(exchange, HUB, 100.0) == ""
-    exchange.not_before = 400.0
+    exchange.not_before_ms = 400.0
     assert "rule 5" in guard.objection(exchange, HUB, 399.0)
     exchange.attempt = Attempt(exchange.offer, 0, HUB, 100.0, 200.0)
     assert "rule 2" in guard.objection(exchange, HUB, 500.0)
     exchange.attempt = None
     for health in (Health.DRAINING, Health.GONE):
-        guard.news(ExchangeList(ListKind.CHANGES, (Listed(HUB, 1, health, 0.0),)))
+        guard.update_hubs(ExchangeList(ListKind.CHANGES, (Listed(HUB, 1, health, 0.0),)))
         assert "rule 3" in guard.objection(exchange, HUB, 501.0)
-    guard.news(ExchangeList(ListKind.WHOLE, ()))
+    guard.update_hubs(ExchangeList(ListKind.WHOLE, ()))
     assert "rule 3" in guard.objection(exchange, HUB, 601.0)
     assert "rule 1" in guard.objection(exchange, HUB, 9000.0)
-    exchange.withdraw()
+    exchange.cancel()
     assert "rule 1" in guard.objection(exchange, HUB, 600.0)
 
 
 def test_the_guard_keeps_a_cold_hub_within_its_budget() -> None:
     guard, exchange = guarded()
-    guard.room(HUB, 30.0)
-    guard.news(ExchangeList(ListKind.CHANGES, (Listed(HUB, 1, Health.READY, 10_000.0),)))
+    guard.update_capacity(HUB, 30.0)
+    guard.update_hubs(ExchangeList(ListKind.CHANGES, (Listed(HUB, 1, Health.READY, 10_000.0),)))
     exchange.deadline_ms = 1e9
     sent = 0
     while not guard.objection(exchange, HUB, 10_500.0):
-        guard.sent(HUB, 10_500.0)
+        guard.record_send(HUB, 10_500.0)
         sent += 1
     assert 2 <= sent <= 30.0 * 2 * 0.35 / (SET.softswitches - 1)
     alone = Guard(replace(SET, softswitches=1))  # its part is the whole
@@ -304,16 +310,16 @@
     stage = Stage()
     stage.offer()
     first, broker = stage.hubs.sent[0], stage.broker
-    exchange = broker.open["a"]
+    exchange = broker.pending["a"]
     stage.give(AttemptFailed(first, Ending.NOT_SENT))
     if exchange.attempt is None:
-        broker._set_up(exchange.number, HUB, 0.0)
+        broker._execute_set_up(exchange.number, HUB, 0.0)
     assert exchange.attempt is not None and len(stage.hubs.sent) == 1, "it goes out later"
     again = exchange.attempt
     assert again.sent_ms >= broker.now + DUPLICATE_ANSWER_MS - 1
     until = now_ms() + 5000
     while len(stage.hubs.sent) == 1 and now_ms() < until:
-        broker.turn()
+        broker.run_once()
     assert stage.hubs.sent[1] is again and now_ms() >= again.sent_ms
     stage.give(AttemptFailed(first, Ending.NOT_SENT))  # late, and of the first
     assert exchange.attempt is again
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -55,14 +55,14 @@
         self.life, self.now = Lifecycle(), 1000.0
         self.open = self.inbox = 0
         self.entered: list[Phase] = []
-        self.life.watchers.append(lambda: self.entered.append(self.life.phase))
+        self.life.phase_listeners.append(lambda: self.entered.append(self.life.phase))
 
     def step(self, what: str, later: float) -> None:
         self.now += later
         before = self.life.phase
         match what:
             case "stop":
-                assert self.life.stop(self.now) is (before is Phase.RUNNING)
+                assert self.life.request_stop(self.now) is (before is Phase.RUNNING)
             case "open":
                 self.open += 1
             case "close":
@@ -72,19 +72,21 @@
             case "out":
                 self.inbox = max(self.inbox - 1, 0)
             case "door":
-                self.life.doors += 1
+                self.life.open_listeners += 1
             case "shut":
-                self.life.doors = max(self.life.doors - 1, 0)
+                self.life.open_listeners = max(self.life.open_listeners - 1, 0)
             case "core":
                 self._core()
             case "gone":
-                if what == "gone" and self.life.core_runs and before is not Phase.RUNNING:
+                if what == "gone" and self.life.core_running and before is not Phase.RUNNING:
                     self.life.core_stopped(self.now)
                     assert self.life.phase is Phase.FLUSHING
             case "flush":
                 self.life.check_flush(self.open, self.now)
                 if self.life.phase is Phase.ENDED and before is not Phase.ENDED:
-                    assert before is Phase.FLUSHING and (not self.open or self.now >= self.life.due_ms)
+                    assert before is Phase.FLUSHING and (
+                        not self.open or self.now >= self.life.phase_deadline_ms
+                    )
         assert self.life.phase >= before, "it went back"
 
     def _core(self) -> None:
@@ -93,15 +95,15 @@
         since = self.now - life.stop_ms
         if before is Phase.RUNNING:
             assert life.phase is Phase.RUNNING and not refuse
-        elif before is Phase.DRAINING and since < TIMES.takes:
+        elif before is Phase.DRAINING and since < TIMES.refuse_after_ms:
             assert life.phase is Phase.DRAINING, "callers may still come"
         if life.phase is Phase.FLUSHING and before < Phase.FLUSHING:
-            if since < TIMES.answers:
-                assert not (self.open or self.inbox or life.doors), "the core ended with work left"
+            if since < TIMES.answer_by_ms:
+                assert not (self.open or self.inbox or life.open_listeners), "the core ended with work left"
                 assert not refuse
             else:
                 assert refuse is (self.open > 0), "what the kill would find"
-        if before <= Phase.FINISHING and since >= TIMES.answers and life.phase >= Phase.FINISHING:
+        if before <= Phase.FINISHING and since >= TIMES.answer_by_ms and life.phase >= Phase.FINISHING:
             assert life.phase is Phase.FLUSHING, "it waits past its time"
 
 
@@ -112,35 +114,40 @@
         world.step(what, later)
     life = world.life
     assert world.entered == sorted(set(world.entered)), "each phase is entered once, in order"
-    assert life.accepts == life.takes == (life.phase <= Phase.DRAINING)
-    assert life.well == (life.phase is Phase.RUNNING)
+    assert life.accepts_connections == life.accepts_set_ups == (life.phase <= Phase.DRAINING)
+    assert life.healthy == (life.phase is Phase.RUNNING)
     # whatever came, asked to stop it has ended before the kill
     stop = min(life.stop_ms, world.now)
-    life.stop(stop)
-    life.check_core(world.open, world.inbox, stop + TIMES.takes)
-    life.check_core(world.open, world.inbox, stop + TIMES.answers)
-    assert not life.core_runs
-    life.check_flush(1, stop + TIMES.ends)
-    assert life.phase is Phase.ENDED and TIMES.ends < 3700.0
+    life.request_stop(stop)
+    life.check_core(world.open, world.inbox, stop + TIMES.refuse_after_ms)
+    life.check_core(world.open, world.inbox, stop + TIMES.answer_by_ms)
+    assert not life.core_running
+    life.check_flush(1, stop + TIMES.exit_by_ms)
+    assert life.phase is Phase.ENDED and TIMES.exit_by_ms < 3700.0
 
 
 def test_a_calm_end_waits_for_callers_and_for_nothing_else() -> None:
     life = Lifecycle()
-    assert life.due_ms == float("inf") and life.stop(1000.0) and not life.well and life.takes
+    assert (
+        life.phase_deadline_ms == float("inf")
+        and life.request_stop(1000.0)
+        and not life.healthy
+        and life.accepts_set_ups
+    )
 
     def looks(open_calls: int, inbox: int, now: float) -> Phase:
         life.check_core(open_calls, inbox, now)
         life.check_flush(open_calls, now)
         return life.phase
 
-    assert looks(0, 0, 1699.0) is Phase.DRAINING and life.due_ms == 1700.0
-    life.doors = 1
+    assert looks(0, 0, 1699.0) is Phase.DRAINING and life.phase_deadline_ms == 1700.0
+    life.open_listeners = 1
     assert looks(0, 0, 1701.0) is Phase.FINISHING, "whoever waits at the door was let in by the machine"
-    life.doors = 0
+    life.open_listeners = 0
     assert looks(1, 0, 1702.0) is Phase.FINISHING
     assert looks(0, 1, 1703.0) is Phase.FINISHING
     life.check_core(0, 0, 1704.0)
-    assert looks(2, 0, 1705.0) is Phase.FLUSHING and life.due_ms == 2704.0
+    assert looks(2, 0, 1705.0) is Phase.FLUSHING and life.phase_deadline_ms == 2704.0
     assert looks(0, 0, 1706.0) is Phase.ENDED
 
 
@@ -176,7 +183,7 @@
 @pytest.fixture(autouse=True)
 def _no_hold() -> Iterator[None]:
     yield
-    steps.hold = None
+    steps.hook = None
 
 
 @pytest.fixture
@@ -193,7 +200,7 @@
     return thread
 
 
-@pytest.mark.parametrize("step", [steps.READ, steps.TAKEN])
+@pytest.mark.parametrize("step", [steps.READ, steps.REGISTERED])
 def test_a_connection_whose_set_up_is_being_read_does_not_go(step: str, front: Front) -> None:
     gate = Gate(step)
     front.set_up()
@@ -207,7 +214,7 @@
 
 def test_a_connection_whose_set_up_the_system_still_has_does_not_go(front: Front) -> None:
     """The reader is held with the first set-up; the second has only reached the machine."""
-    gate = Gate(steps.TAKEN)
+    gate = Gate(steps.REGISTERED)
     front.set_up("a")
     gate.held()
     front.set_up("b")
@@ -289,10 +296,10 @@
 
 
 def test_a_set_up_that_crossed_the_end_of_the_core_is_refused_before_the_end(front: Front) -> None:
-    gate = Gate(steps.TAKEN)
+    gate = Gate(steps.REGISTERED)
     front.set_up()
     gate.held()
-    front.life.stop(now_ms())
+    front.life.request_stop(now_ms())
     front.life.core_stopped(now_ms())  # its reader goes on to an inbox that nobody empties any more
     assert front.callers.flush() == 1
     assert front.reads().startswith(b"SIP/2.0 503")
@@ -310,15 +317,15 @@
     late = socket.create_connection(front.where)
     late.settimeout(PATIENCE_S)
     late.sendall(encode(request("OPTIONS", "sip:ping@net", ("call-id", "1"), ("cseq", "1 OPTIONS"))))
-    front.life.stop(0.0)
-    front.life.check_core(0, 0, TIMES.takes)
-    assert front.life.phase is Phase.FINISHING and front.life.doors == 1
+    front.life.request_stop(0.0)
+    front.life.check_core(0, 0, TIMES.refuse_after_ms)
+    assert front.life.phase is Phase.FINISHING and front.life.open_listeners == 1
     gate.go.set()
     assert late.recv(100).startswith(b"SIP/2.0 503")  # its test fails: the program is ending
     until = now_ms() + PATIENCE_S * 1000
-    while front.life.doors and now_ms() < until:
+    while front.life.open_listeners and now_ms() < until:
         threading.Event().wait(seconds_until(now_ms() + 5))
-    assert front.life.doors == 0
+    assert front.life.open_listeners == 0
     first.close()
     late.close()
 
@@ -359,8 +366,8 @@
 @pytest.mark.parametrize("longest", [300.0, 600.0, 1200.0, 3000.0, 9000.0])
 def test_the_program_ends_before_the_earliest_kill_of_its_deployment(longest: float) -> None:
     times = times_before_kill(longest)
-    assert times.takes < times.answers < times.ends < min(longest, 3000.0) + 700.0
-    assert times.takes <= 700.0, "what comes later than 0.7 s has to be answered by the kill"
+    assert times.refuse_after_ms < times.answer_by_ms < times.exit_by_ms < min(longest, 3000.0) + 700.0
+    assert times.refuse_after_ms <= 700.0, "what comes later than 0.7 s has to be answered by the kill"
 
 
 @pytest.mark.parametrize("deadline_ms", [600.0, 1200.0])
--- a/tests/test_one_answer.py
+++ b/tests/test_one_answer.py
@@ -109,7 +109,7 @@
 def front() -> Iterator[Front]:
     made = Front()
     yield made
-    steps.hold = None
+    steps.hook = None
     made.end()
 
 
@@ -149,11 +149,11 @@
 
 
 def test_one_refusal_when_reader_and_main_thread_both_refuse_at_the_end(front: Front) -> None:
-    gate = Gate(steps.TAKEN)
+    gate = Gate(steps.REGISTERED)
     front.set_up()
     gate.held()
     front.inbox.closed = True
-    front.life.stop(now_ms())
+    front.life.request_stop(now_ms())
     front.life.core_stopped(now_ms())
     front.callers.flush()
     gate.go.set()
