--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -114,11 +114,11 @@
 
     def take(self, until_ms: float) -> Iterator[CoreEvent]:
         """Waits until something comes or `until_ms`; then all that is there, up to a batch."""
-        waits = not self.core_events
+        must_wait = not self.core_events
         while self.core_events:
             yield self.core_events.popleft()
         try:
-            if waits:
+            if must_wait:
                 yield self.queue.get(timeout=seconds_until(until_ms))
             for _ in range(MAX_BATCH_SIZE):
                 yield self.queue.get_nowait()
@@ -135,19 +135,19 @@
         seed: int,
         inbox: Inbox,
         hubs: HubClient,
-        released: Callable[[str, int], None],
+        release_unknown: Callable[[str, int], None],
         contracts: Contracts | None = None,
-        life: Lifecycle | None = None,
+        lifecycle: Lifecycle | None = None,
     ) -> None:
         settings = replace(settings, release_ms=settings.release_ms + RELEASE_MARGIN_MS)
         self.settings = settings
         self.inbox = inbox
         self.hubs = hubs
-        self.release_unknown = released
+        self.release_unknown = release_unknown
         self.contracts = contracts or Contracts(())
         self.switch = Softswitch(settings, seed)
         self.guard = Guard(settings)
-        self.class_indexes = {kind.name: index for index, kind in enumerate(settings.classes)}
+        self.class_indexes = {call_class.name: index for index, call_class in enumerate(settings.classes)}
         self.numbers = itertools.count(1)
         self.known_hub_numbers: set[int] = set()  # numbers that a lab hub has or had
         self.pending: dict[str, PendingCall] = {}
@@ -158,9 +158,9 @@
         self.timers: list[tuple[float, int, Timer]] = []
         self.timer_order = itertools.count()
         self.now = now_ms()
-        self.lifecycle = life or Lifecycle()
-        room = [n for n, f in enumerate(settings.figures) if f is Figure.ROOM_PER_S]
-        self.capacity_index = room[0] if room else -1
+        self.lifecycle = lifecycle or Lifecycle()
+        capacity_indexes = [n for n, f in enumerate(settings.figures) if f is Figure.ROOM_PER_S]
+        self.capacity_index = capacity_indexes[0] if capacity_indexes else -1
 
     # --- the loop ---
 
@@ -170,10 +170,10 @@
 
     def run_once(self) -> None:
         """One batch: all of it happens at one time, as the decision module expects."""
-        due = self.timers[0][0] if self.timers else now_ms() + 1000
+        due_ms = self.timers[0][0] if self.timers else now_ms() + 1000
         if not self.lifecycle.healthy:
-            due = min(due, now_ms() + STOP_POLL_MS)
-        batch = list(self.inbox.take(due))
+            due_ms = min(due_ms, now_ms() + STOP_POLL_MS)
+        batch = list(self.inbox.take(due_ms))
         self.now = now_ms()
         for event in batch:
             self._handle_safely(event)
@@ -182,8 +182,8 @@
         if not self.lifecycle.healthy:
             # guards against what the kill would find unanswered
             if self.lifecycle.check_core(len(self.pending), self.inbox.size(), self.now):
-                for exchange in list(self.pending.values()):
-                    self._refuse_pending(exchange)
+                for call in list(self.pending.values()):
+                    self._refuse_pending(call)
             self.inbox.closed = not self.lifecycle.accepts_set_ups
 
     def _handle_safely(self, event: CoreEvent | Timer) -> None:
@@ -192,13 +192,13 @@
         except Exception:  # guards the other calls: one event that goes wrong must not end the program
             traceback.print_exc(file=sys.stderr)
             if isinstance(event, Offer):
-                exchange = self.pending.get(event.call_id)
-                if exchange is not None and exchange.attempt is None:
-                    exchange.refuse(self._retry_after_ms(), RefusalReason.FAILED)
-                    self._remove_pending(exchange)
+                call = self.pending.get(event.call_id)
+                if call is not None and call.attempt is None:
+                    call.refuse(self._retry_after_ms(), RefusalReason.FAILED)
+                    self._remove_pending(call)
 
-    def _set_timer(self, when: float, what: Timer) -> None:
-        heapq.heappush(self.timers, (when, next(self.timer_order), what))
+    def _set_timer(self, due_ms: float, timer: Timer) -> None:
+        heapq.heappush(self.timers, (due_ms, next(self.timer_order), timer))
 
     def _handle(self, event: CoreEvent | Timer) -> None:
         match event:
@@ -206,25 +206,25 @@
                 self._handle_offer(event)
             case SetUpCancelled():
                 self._handle_cancel(event)
-            case CallerStreamBroken(call, caller):
-                exchange = self.pending.get(call)
-                if exchange is not None and exchange.offer.caller.origin is caller.origin:
-                    self._refuse_pending(exchange)
+            case CallerStreamBroken(call_id, caller):
+                call = self.pending.get(call_id)
+                if call is not None and call.offer.caller.origin is caller.origin:
+                    self._refuse_pending(call)
             case AttemptEstablished():
                 self._handle_established(event)
             case AttemptFailed():
                 self._handle_attempt_failed(event)
             case HubReleased():
                 self._handle_hub_release(event)
-            case CallerReleased(call):
-                self._handle_caller_release(call)
-            case HubFailed(hub, before):
-                self._handle_hub_failed(hub, before)
-            case LoadReported(hub, figures):
-                self._notify_module(Report(hub, False, True, 0.0, figures))
-            case ProbeCompleted(hub, well, latency, figures):
-                self._update_guard(hub, figures)
-                self._notify_module(Report(hub, True, well, latency, figures))
+            case CallerReleased(call_id):
+                self._handle_caller_release(call_id)
+            case HubFailed(hub, before_ms):
+                self._handle_hub_failed(hub, before_ms)
+            case LoadReported(hub, load_values):
+                self._notify_module(Report(hub, False, True, 0.0, load_values))
+            case ProbeCompleted(hub, succeeded, latency_ms, load_values):
+                self._update_guard(hub, load_values)
+                self._notify_module(Report(hub, True, succeeded, latency_ms, load_values))
             case HubListChanged(change):
                 self.known_hub_numbers.update(entry.number for entry in change.entries)
                 self.guard.update_hubs(change)
@@ -234,8 +234,8 @@
                         self._handle_hub_failed(entry.exchange, entry.came_up_ms)
             case ContractsChanged(contracts):
                 self.contracts.replace(contracts, self.now)
-            case StopRequested(asked_ms):
-                self.lifecycle.request_stop(asked_ms)
+            case StopRequested(requested_ms):
+                self.lifecycle.request_stop(requested_ms)
             case Attempt():
                 self._handle_attempt_timeout(event)
             case DelayedAttempt(attempt):
@@ -249,39 +249,39 @@
     # --- callers ---
 
     def _handle_offer(self, offer: Offer) -> None:
-        again = self.pending.get(offer.call_id)
-        if self._take_over_repeat(offer, again or self.established.get(offer.call_id)):
+        pending_call = self.pending.get(offer.call_id)
+        if self._take_over_repeat(offer, pending_call or self.established.get(offer.call_id)):
             return
-        exchange = PendingCall(offer, next(self.numbers))
-        if again is not None or offer.call_id in self.established:
+        call = PendingCall(offer, next(self.numbers))
+        if pending_call is not None or offer.call_id in self.established:
             # guards against whoever uses the id of another's call: it would be told that call's answer
-            exchange.refuse(0.0, RefusalReason.FAILED)
+            call.refuse(0.0, RefusalReason.FAILED)
             return
-        kind = self.class_indexes.get(offer.class_name)
-        team_later = self.contracts.admit(offer.team, offer.class_name, offer.call_id, self.now)
-        if kind is None or offer.destination not in self.known_hub_numbers:
-            exchange.refuse(
+        class_index = self.class_indexes.get(offer.class_name)
+        team_retry_after_ms = self.contracts.admit(offer.team, offer.class_name, offer.call_id, self.now)
+        if class_index is None or offer.destination not in self.known_hub_numbers:
+            call.refuse(
                 0.0, RefusalReason.FAILED
             )  # guards the module's tables against numbers that no hub had
-        elif team_later > 0:
-            exchange.refuse(team_later)
-        elif team_later < 0:
-            exchange.refuse(0.0, RefusalReason.FORBIDDEN)
+        elif team_retry_after_ms > 0:
+            call.refuse(team_retry_after_ms)
+        elif team_retry_after_ms < 0:
+            call.refuse(0.0, RefusalReason.FORBIDDEN)
         elif len(self.pending) >= MAX_PENDING_CALLS or self.now >= offer.deadline_ms - DEADLINE_MARGIN_MS:
-            exchange.refuse(self._retry_after_ms())
+            call.refuse(self._retry_after_ms())
         elif self.now < self.ended.get(offer.call_id, 0.0):
-            exchange.refuse(self._retry_after_ms())  # its last attempt is still being released at a lab hub
-        if exchange.concluded or kind is None:
-            log_event("refused", call=offer.call_id, by="core", attempts=0, known=again is not None)
+            call.refuse(self._retry_after_ms())  # its last attempt is still being released at a lab hub
+        if call.concluded or class_index is None:
+            log_event("refused", call=offer.call_id, by="core", attempts=0, known=pending_call is not None)
             self.contracts.call_ended(offer.call_id)
             return
-        self.pending[offer.call_id] = self.pending_by_number[exchange.number] = exchange
+        self.pending[offer.call_id] = self.pending_by_number[call.number] = call
         self._set_timer(offer.deadline_ms - DEADLINE_MARGIN_MS, offer.call_id)
         self._notify_module(
             CallOffered(
-                exchange.number,
+                call.number,
                 offer.destination,
-                kind,
+                class_index,
                 offer.width,
                 offer.deadline_ms - self.now,
                 advised=offer.advised_tandem,
@@ -305,57 +305,57 @@
 
     def _handle_cancel(self, event: SetUpCancelled) -> None:
         # guards against whoever gives up a set-up under the id of another's call
-        exchange, standing = self.pending.get(event.call_id), self.established.get(event.call_id)
-        if exchange is not None:
-            if exchange.offer.caller.origin is event.caller.origin and exchange.cancel():
-                log_event("withdrawn", call=event.call_id, attempts=exchange.attempt_count)
-                self._abandon(exchange)
-        elif standing is not None and standing.offer.caller.origin is event.caller.origin:
+        call, established_call = self.pending.get(event.call_id), self.established.get(event.call_id)
+        if call is not None:
+            if call.offer.caller.origin is event.caller.origin and call.cancel():
+                log_event("withdrawn", call=event.call_id, attempts=call.attempt_count)
+                self._abandon(call)
+        elif established_call is not None and established_call.offer.caller.origin is event.caller.origin:
             self._handle_caller_release(event.call_id)  # it crossed the answer
 
-    def _handle_caller_release(self, call: str) -> None:
-        standing = self.established.pop(call, None)
-        if standing is None:
+    def _handle_caller_release(self, call_id: str) -> None:
+        established_call = self.established.pop(call_id, None)
+        if established_call is None:
             return
-        self.contracts.call_ended(call)
-        self.hubs.release(standing.attempt.hub, call)
-        self._notify_module(self._call_ended_event(standing, Ending.CANCELLED))
+        self.contracts.call_ended(call_id)
+        self.hubs.release(established_call.attempt.hub, call_id)
+        self._notify_module(self._call_ended_event(established_call, Ending.CANCELLED))
 
-    def _handle_deadline(self, call: str) -> None:
+    def _handle_deadline(self, call_id: str) -> None:
         """Guards against a call left without its answer, whatever became of the decision on it."""
-        exchange = self.pending.get(call)
-        if exchange is None or self.now < exchange.deadline_ms - DEADLINE_MARGIN_MS:
+        call = self.pending.get(call_id)
+        if call is None or self.now < call.deadline_ms - DEADLINE_MARGIN_MS:
             return
-        self._refuse_pending(exchange)
+        self._refuse_pending(call)
 
-    def _refuse_pending(self, exchange: PendingCall) -> None:
+    def _refuse_pending(self, call: PendingCall) -> None:
         """The core's own refusal, without asking the module; nothing where the answer has been given."""
-        if exchange.refuse(self._retry_after_ms(), exchange.refusal_reason):
-            log_event("refused", call=exchange.offer.call_id, why=exchange.refusal_reason.value, by="core",
-                   attempts=exchange.attempt_count)  # fmt: skip
-            self._abandon(exchange)
+        if call.refuse(self._retry_after_ms(), call.refusal_reason):
+            log_event("refused", call=call.offer.call_id, why=call.refusal_reason.value, by="core",
+                   attempts=call.attempt_count)  # fmt: skip
+            self._abandon(call)
 
-    def _abandon(self, exchange: PendingCall) -> None:
+    def _abandon(self, call: PendingCall) -> None:
         """The call is over for its caller: an attempt still out is called off."""
-        attempt = exchange.attempt
+        attempt = call.attempt
         if attempt is not None:
-            exchange.not_before_ms = self.now + self.settings.release_ms
-        self._remove_pending(exchange)
-        self._notify_module(CallerLeft(exchange.number))
+            call.not_before_ms = self.now + self.settings.release_ms
+        self._remove_pending(call)
+        self._notify_module(CallerLeft(call.number))
         if attempt is not None:
             self.hubs.cancel(attempt)
             self._notify_module(
-                AttemptEnded(exchange.number, attempt.hub, attempt.number, Ending.CANCELLED, True,
+                AttemptEnded(call.number, attempt.hub, attempt.number, Ending.CANCELLED, True,
                              self.now - attempt.sent_ms)
             )  # fmt: skip
 
-    def _remove_pending(self, exchange: PendingCall) -> None:
-        self.pending.pop(exchange.offer.call_id, None)
-        self.pending_by_number.pop(exchange.number, None)
-        exchange.attempt = None
-        if exchange.offer.call_id not in self.established:
-            self.contracts.call_ended(exchange.offer.call_id)
-            self.ended[exchange.offer.call_id] = exchange.not_before_ms
+    def _remove_pending(self, call: PendingCall) -> None:
+        self.pending.pop(call.offer.call_id, None)
+        self.pending_by_number.pop(call.number, None)
+        call.attempt = None
+        if call.offer.call_id not in self.established:
+            self.contracts.call_ended(call.offer.call_id)
+            self.ended[call.offer.call_id] = call.not_before_ms
             while len(self.ended) > MAX_ENDED_CALLS:
                 self.ended.popitem(last=False)
 
@@ -365,101 +365,99 @@
     # --- lab hubs ---
 
     def _pending_for(self, attempt: Attempt) -> PendingCall | None:
-        exchange = self.pending.get(attempt.offer.call_id)
-        return exchange if exchange is not None and exchange.attempt is attempt else None
+        call = self.pending.get(attempt.offer.call_id)
+        return call if call is not None and call.attempt is attempt else None
 
     def _handle_established(self, event: AttemptEstablished) -> None:
-        attempt, call = event.attempt, event.attempt.offer.call_id
-        exchange = self._pending_for(attempt)
-        if exchange is None:  # it crossed our giving up: what stands there for nobody is released
-            standing = self.established.get(call)
-            busy = self.pending.get(call)
-            if not (standing and standing.attempt.hub == attempt.hub) and not (
-                busy and busy.attempt and busy.attempt.hub == attempt.hub
+        attempt, call_id = event.attempt, event.attempt.offer.call_id
+        call = self._pending_for(attempt)
+        if call is None:  # it crossed our giving up: what stands there for nobody is released
+            established_call = self.established.get(call_id)
+            other_call = self.pending.get(call_id)
+            if not (established_call and established_call.attempt.hub == attempt.hub) and not (
+                other_call and other_call.attempt and other_call.attempt.hub == attempt.hub
             ):
-                self.hubs.release(attempt.hub, call)
+                self.hubs.release(attempt.hub, call_id)
             return
         if len(self.established) >= MAX_ESTABLISHED_CALLS:
-            oldest = next(iter(self.established))
-            del self.established[oldest]
-            self.contracts.call_ended(oldest)
-        self.established[call] = EstablishedCall(exchange, attempt, event.description, self.now)
-        exchange.answer(event.description)
-        self._remove_pending(exchange)
-        self._notify_module(
-            CallStands(exchange.number, attempt.hub, attempt.number, self.now - attempt.sent_ms)
-        )
-        if exchange.early_release is not None:
-            self._handle_hub_release(exchange.early_release)
+            oldest_id = next(iter(self.established))
+            del self.established[oldest_id]
+            self.contracts.call_ended(oldest_id)
+        self.established[call_id] = EstablishedCall(call, attempt, event.description, self.now)
+        call.answer(event.description)
+        self._remove_pending(call)
+        self._notify_module(CallStands(call.number, attempt.hub, attempt.number, self.now - attempt.sent_ms))
+        if call.early_release is not None:
+            self._handle_hub_release(call.early_release)
 
     def _handle_attempt_failed(self, event: AttemptFailed) -> None:
         attempt = event.attempt
-        exchange = self._pending_for(attempt)
+        call = self._pending_for(attempt)
         self._update_guard(attempt.hub, event.load_values)
-        if exchange is None:
+        if call is None:
             return
-        exchange.attempt = None
+        call.attempt = None
         if event.ending not in NOT_ANSWERED:
-            exchange.refused_ms_by_hub[attempt.hub] = self.now
+            call.refused_ms_by_hub[attempt.hub] = self.now
         log_event("attempt_ended", call=attempt.offer.call_id, hub=attempt.hub, number=attempt.number,
                ending=event.ending.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
         timed_out = event.ending is Ending.TIMED_OUT
-        exchange.refusal_reason = (
+        call.refusal_reason = (
             RefusalReason.TIMED_OUT
             if timed_out
             else REFUSAL_REASONS.get(event.reason, RefusalReason.UNAVAILABLE)
         )
         if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
-            exchange.not_before_ms = self.now + self.settings.release_ms
+            call.not_before_ms = self.now + self.settings.release_ms
         self._notify_module(
-            AttemptEnded(exchange.number, attempt.hub, attempt.number, event.ending, False,
+            AttemptEnded(call.number, attempt.hub, attempt.number, event.ending, False,
                          self.now - attempt.sent_ms, event.reason, 0.0, event.load_values)
         )  # fmt: skip
 
     def _handle_attempt_timeout(self, attempt: Attempt) -> None:
         if self._pending_for(attempt) is not None:
             # guards the module against taking a connection that fell silent for a processor that is slow
-            mute = self.hubs.cancel(attempt)
+            connection_silent = self.hubs.cancel(attempt)
             self._handle_attempt_failed(
-                AttemptFailed(attempt, Ending.CANCELLED if mute else Ending.TIMED_OUT)
+                AttemptFailed(attempt, Ending.CANCELLED if connection_silent else Ending.TIMED_OUT)
             )
 
     def _call_ended_event(
-        self, standing: EstablishedCall, ending: Ending, report: tuple[float, ...] = ()
+        self, established_call: EstablishedCall, ending: Ending, load_values: tuple[float, ...] = ()
     ) -> Event:
-        attempt = standing.attempt
+        attempt = established_call.attempt
         return AttemptEnded(
-            standing.number,
+            established_call.number,
             attempt.hub,
             attempt.number,
             ending,
             True,
             self.now - attempt.sent_ms,
-            report=report,
+            report=load_values,
         )
 
     def _handle_hub_release(self, event: HubReleased) -> None:
-        standing = self.established.get(event.call_id)
+        established_call = self.established.get(event.call_id)
         self._update_guard(event.hub, event.load_values)
-        if standing is None:
+        if established_call is None:
             self._handle_unmatched_release(event)
             return
-        if standing.attempt.hub != event.hub:
+        if established_call.attempt.hub != event.hub:
             return  # a late word on an attempt that was given up; the call stands elsewhere
         del self.established[event.call_id]
         self.contracts.call_ended(event.call_id)
-        standing.offer.caller.release(event.cause)
+        established_call.offer.caller.release(event.cause)
         ending = Ending.CUT if event.cause == CAUSE_CALL_CUT else Ending.ENDED
-        self._notify_module(self._call_ended_event(standing, ending, event.load_values))
+        self._notify_module(self._call_ended_event(established_call, ending, event.load_values))
 
     def _handle_unmatched_release(self, event: HubReleased) -> None:
         """A caller hears of an end only after its answer, or if the call is from before a restart."""
-        exchange = self.pending.get(event.call_id)
-        if exchange is not None:
-            current = exchange.attempt is not None and exchange.attempt.hub == event.hub
-            log_event("release_before_answer", call=event.call_id, hub=event.hub, current=current)
-            if current:
-                exchange.early_release = event
+        call = self.pending.get(event.call_id)
+        if call is not None:
+            is_current = call.attempt is not None and call.attempt.hub == event.hub
+            log_event("release_before_answer", call=event.call_id, hub=event.hub, current=is_current)
+            if is_current:
+                call.early_release = event
         elif event.call_id in self.ended:
             log_event("release_ignored", call=event.call_id, hub=event.hub)
         else:
@@ -467,20 +465,20 @@
             self.release_unknown(event.call_id, event.cause)
 
     def _handle_hub_failed(self, hub: bytes, before_ms: float) -> None:
-        cut = [
-            call
-            for call, standing in self.established.items()
-            if standing.attempt.hub == hub and standing.attempt.sent_ms < before_ms
+        cut_call_ids = [
+            call_id
+            for call_id, established_call in self.established.items()
+            if established_call.attempt.hub == hub and established_call.attempt.sent_ms < before_ms
         ]
-        if cut:
-            log_text(f"{hub!r} is gone: {len(cut)} calls that stood there are released")
-        for call in cut:
-            if call in self.established:
-                self._handle_hub_release(HubReleased(call, hub, CAUSE_CALL_CUT))
+        if cut_call_ids:
+            log_text(f"{hub!r} is gone: {len(cut_call_ids)} calls that stood there are released")
+        for call_id in cut_call_ids:
+            if call_id in self.established:
+                self._handle_hub_release(HubReleased(call_id, hub, CAUSE_CALL_CUT))
 
-    def _update_guard(self, hub: bytes, figures: tuple[float, ...]) -> None:
-        if 0 <= self.capacity_index < len(figures):
-            self.guard.update_capacity(hub, figures[self.capacity_index])
+    def _update_guard(self, hub: bytes, load_values: tuple[float, ...]) -> None:
+        if 0 <= self.capacity_index < len(load_values):
+            self.guard.update_capacity(hub, load_values[self.capacity_index])
 
     # --- the decision module ---
 
@@ -490,58 +488,58 @@
 
     def _execute(self, action: Action) -> None:
         match action:
-            case SetUp(number, hub, wait):
-                self._execute_set_up(number, hub, wait)
-            case Refuse(number, come_back):
-                self._execute_refusal(number, come_back, None)
-            case GiveUp(number, come_back):
-                self._execute_refusal(number, come_back, RefusalReason.FAILED)
+            case SetUp(call_number, hub, wait_ms):
+                self._execute_set_up(call_number, hub, wait_ms)
+            case Refuse(call_number, retry_after_ms):
+                self._execute_refusal(call_number, retry_after_ms, None)
+            case GiveUp(call_number, retry_after_ms):
+                self._execute_refusal(call_number, retry_after_ms, RefusalReason.FAILED)
             case Probe(hub):
                 self.hubs.probe(hub, self.now + PROBE_TIMEOUT_MS)
-            case WakeAt(when, token):
-                self._set_timer(when, Woken(token))
+            case WakeAt(due_ms, token):
+                self._set_timer(due_ms, Woken(token))
             case Say(text):
                 log_text(text)
             case _:
                 pass  # the platform tells news by itself, and border controllers have no way to talk
 
-    def _execute_refusal(self, number: int, come_back: float, why: RefusalReason | None) -> None:
-        exchange = self.pending_by_number.get(number)
-        if exchange is not None:
-            attempt = exchange.attempt
-            exchange.refuse(come_back, why or exchange.refusal_reason)
+    def _execute_refusal(self, call_number: int, retry_after_ms: float, reason: RefusalReason | None) -> None:
+        call = self.pending_by_number.get(call_number)
+        if call is not None:
+            attempt = call.attempt
+            call.refuse(retry_after_ms, reason or call.refusal_reason)
             if attempt is not None:
-                exchange.not_before_ms = self.now + self.settings.release_ms
-            log_event("refused", call=exchange.offer.call_id, why=(why or exchange.refusal_reason).value,
-                   by="module", attempts=exchange.attempt_count, come_back_ms=come_back)  # fmt: skip
-            self._remove_pending(exchange)
+                call.not_before_ms = self.now + self.settings.release_ms
+            log_event("refused", call=call.offer.call_id, why=(reason or call.refusal_reason).value,
+                   by="module", attempts=call.attempt_count, come_back_ms=retry_after_ms)  # fmt: skip
+            self._remove_pending(call)
             if attempt is not None:
                 self.hubs.cancel(attempt)
 
-    def _execute_set_up(self, number: int, hub: bytes, wait: float) -> None:
-        exchange = self.pending_by_number.get(number)
-        if exchange is None:
+    def _execute_set_up(self, call_number: int, hub: bytes, wait_ms: float) -> None:
+        call = self.pending_by_number.get(call_number)
+        if call is None:
             return
-        objection = self.guard.objection(exchange, hub, self.now)
+        objection = self.guard.objection(call, hub, self.now)
         if objection:
-            log_text(f"set-up of {exchange.offer.call_id} held back: {objection}")
+            log_text(f"set-up of {call.offer.call_id} held back: {objection}")
             self._notify_module(
-                AttemptEnded(number, hub, exchange.attempt_count, Ending.NOT_SENT, False, 0.0)
+                AttemptEnded(call_number, hub, call.attempt_count, Ending.NOT_SENT, False, 0.0)
             )
             return
-        until = exchange.deadline_ms - DEADLINE_MARGIN_MS
-        if wait > 0:
-            until = min(until, self.now + wait)
-        goes_out = max(self.now, exchange.refused_ms_by_hub.get(hub, 0.0) + DUPLICATE_ANSWER_MS)
-        attempt = Attempt(exchange.offer, exchange.attempt_count, hub, goes_out, until)
-        exchange.attempt, exchange.attempt_count, exchange.early_release = (
+        attempt_deadline_ms = call.deadline_ms - DEADLINE_MARGIN_MS
+        if wait_ms > 0:
+            attempt_deadline_ms = min(attempt_deadline_ms, self.now + wait_ms)
+        send_ms = max(self.now, call.refused_ms_by_hub.get(hub, 0.0) + DUPLICATE_ANSWER_MS)
+        attempt = Attempt(call.offer, call.attempt_count, hub, send_ms, attempt_deadline_ms)
+        call.attempt, call.attempt_count, call.early_release = (
             attempt,
-            exchange.attempt_count + 1,
+            call.attempt_count + 1,
             None,
         )
         self.guard.record_send(hub, self.now)
-        self._set_timer(until, attempt)
-        if goes_out > self.now:
-            self._set_timer(goes_out, DelayedAttempt(attempt))
+        self._set_timer(attempt_deadline_ms, attempt)
+        if send_ms > self.now:
+            self._set_timer(send_ms, DelayedAttempt(attempt))
         else:
             self.hubs.set_up(attempt)
