--- a/landingdeal/core/events.py
+++ b/landingdeal/core/events.py
@@ -1,4 +1,7 @@
-"""What the fronts tell the core. Each is decoded once, frozen, and carries absolute deadlines."""
+"""Events that the fronts (platform and SIP) send to the core, and the interfaces that the core calls back.
+
+Events are immutable and fully decoded. Times are milliseconds of `clock.now_ms`; deadlines are absolute.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a call is refused; all but FAILED and FORBIDDEN say that trying again is harmless."""
+    """Why a call is refused. After all but FAILED and FORBIDDEN the caller may safely retry."""
 
     UNAVAILABLE = "turned away"
     BUSY = "busy"
@@ -21,41 +24,61 @@
 
 
 class CallerResponder(Protocol):
-    """Server side: where the final answer of one call goes. None of its functions blocks."""
+    """Sends the final answer and the release of one call to its caller. No method blocks."""
 
     @property
     def origin(self) -> object:
-        """What it came on: only from there can the set-up be given up."""
+        """The connection that the set-up came on; a set-up can be cancelled only from its origin."""
         ...
 
     def reachable(self) -> bool:
-        """Whether an answer given now would leave: its connection has not ended."""
+        """Whether an answer can still be sent: the connection has not ended."""
         ...
 
-    def answer(self, description: bytes) -> None: ...
+    def answer(self, description: bytes) -> None:
+        """Accepts the call with the hub's session description."""
+        ...
 
-    def refuse(self, retry_after_ms: float, reason: RefusalReason) -> None: ...
+    def refuse(self, retry_after_ms: float, reason: RefusalReason) -> None:
+        """Refuses the call. `retry_after_ms` is 0 if no retry time is advised."""
+        ...
 
-    def release(self, cause: int) -> None: ...
+    def release(self, cause: int) -> None:
+        """Ends the established call; `cause` is a Q.850 cause."""
+        ...
 
 
 class HubClient(Protocol):
-    """Client side: towards all lab hubs. None of its functions blocks."""
+    """Sends requests to the lab hubs. No method blocks."""
 
-    def set_up(self, attempt: Attempt) -> None: ...
+    def set_up(self, attempt: Attempt) -> None:
+        """Sends the set-up; an `AttemptEstablished` or `AttemptFailed` event reports the outcome."""
+        ...
 
     def cancel(self, attempt: Attempt) -> bool:
-        """True if it went where nothing was heard since, while the lab hub goes on answering elsewhere."""
+        """Cancels a pending attempt.
+
+        Returns true if nothing was received on its connection since the set-up, while the lab hub answers on
+        another one.
+        """
         ...
 
-    def release(self, hub: bytes, call_id: str) -> None: ...
+    def release(self, hub: bytes, call_id: str) -> None:
+        """Releases a call at a lab hub."""
+        ...
 
-    def probe(self, hub: bytes, deadline_ms: float) -> None: ...
+    def probe(self, hub: bytes, deadline_ms: float) -> None:
+        """Asks a lab hub for its load; a `ProbeCompleted` event reports the result."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A set-up as the caller sent it. `uri` and `description` are passed on unchanged."""
+    """A set-up as the caller sent it. `uri` and `description` are passed on unchanged.
+
+    `destination` is the number of the lab hub called, `called_number` identifies the number dialled, and
+    `advised_tandem` is the tandem that the platform names, or in transit the origin (-1: none).
+    """
 
     call_id: str
     uri: str
@@ -73,7 +96,7 @@
     team: str = ""
 
     def is_repeat_of(self, earlier: Offer) -> bool:
-        """The same set-up come again, and not another one under its id."""
+        """Whether this is the same set-up sent again, not another one that uses the same call id."""
         return (self.uri, self.class_name, self.facts, self.description) == (
             earlier.uri, earlier.class_name, earlier.facts, earlier.description
         )  # fmt: skip
@@ -81,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One set-up towards one lab hub."""
+    """One set-up sent to one lab hub; `number` counts the attempts of a call from 0."""
 
     offer: Offer
     number: int
@@ -92,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUpCancelled:
-    """The caller stopped waiting; no answer is owed."""
+    """The caller cancelled the set-up or its connection ended; no answer may follow."""
 
     call_id: str
     caller: CallerResponder
@@ -100,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerStreamBroken:
-    """What the caller's connection carries can't be read any further: an answer is owed, and at once."""
+    """The input from the caller's connection can't be parsed any further: the call is refused at once."""
 
     call_id: str
     caller: CallerResponder
@@ -108,13 +131,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEstablished:
+    """The lab hub accepted the call."""
+
     attempt: Attempt
     description: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailed:
-    """The attempt ended without standing."""
+    """The attempt ended without an established call."""
 
     attempt: Attempt
     ending: Ending
@@ -124,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HubReleased:
-    """A lab hub released a call; it may be one from before this program started."""
+    """A lab hub released a call, possibly one that was set up before this process started."""
 
     call_id: str
     hub: bytes
@@ -134,12 +159,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerReleased:
+    """The caller released its call."""
+
     call_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class HubFailed:
-    """The lab hub's process has died or it is silent: calls set up before that moment are cut."""
+    """The lab hub's process failed or is unresponsive: calls set up before `before_ms` are cut."""
 
     hub: bytes
     before_ms: float
@@ -147,12 +174,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReported:
+    """A lab hub reported its load without being asked."""
+
     hub: bytes
     load_values: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeCompleted:
+    """A probe was answered, or timed out (`succeeded` is false)."""
+
     hub: bytes
     succeeded: bool
     latency_ms: float
@@ -161,21 +192,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HubListChanged:
-    """Of the list of lab hubs."""
+    """The list of lab hubs changed."""
 
     change: ExchangeList
 
 
 @dataclass(frozen=True, slots=True)
 class ContractsChanged:
-    """The operator's file was read again: these contracts count from now on."""
+    """The operator's file was reloaded: these contracts apply from now on."""
 
     contracts: tuple[Contract, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """Answer what is open, then end. The kill is counted from when it was asked."""
+    """Answer all pending calls, then end. The time until the platform's kill counts from `requested_ms`."""
 
     requested_ms: float
 
--- a/landingdeal/core/exchange.py
+++ b/landingdeal/core/exchange.py
@@ -1,4 +1,4 @@
-"""The one object in which server side and client side meet."""
+"""The state of one call: pending until its final answer, then established until its release."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 
 class PendingCall:
-    """A call: its absolute deadline, its one attempt, its one final answer."""
+    """A call without a final answer yet: it has at most one pending attempt and gets exactly one answer."""
 
     __slots__ = ("offer", "number", "deadline_ms", "attempt", "attempt_count", "not_before_ms", "concluded",
                  "refusal_reason", "early_release", "refused_ms_by_hub")  # fmt: skip
 
     def __init__(self, offer: Offer, number: int) -> None:
         self.offer = offer
-        self.number = number  # what the decision module calls it
+        self.number = number  # identifies the call in the decision module
         self.deadline_ms = offer.deadline_ms
         self.attempt: Attempt | None = None
         self.attempt_count = 0
-        self.not_before_ms = float("-inf")
-        self.concluded = False
-        self.refusal_reason = RefusalReason.UNAVAILABLE  # what its last attempt came to
-        self.refused_ms_by_hub: dict[bytes, float] = {}  # when each lab hub last refused it
-        self.early_release: HubReleased | None = None  # it overtook the answer of the attempt that is out
+        self.not_before_ms = float("-inf")  # until then the last attempt is being released
+        self.concluded = False  # it has its final answer, or its caller cancelled
+        self.refusal_reason = RefusalReason.UNAVAILABLE  # from the outcome of its last attempt
+        self.refused_ms_by_hub: dict[bytes, float] = {}  # time of the last refusal by each lab hub
+        self.early_release: HubReleased | None = None  # received before the answer of the pending attempt
 
     def answer(self, description: bytes) -> bool:
-        """The call stands. False if it has had its final answer already."""
+        """Accepts the call. False if it already has its final answer."""
         if self.concluded:
             return False
         self.concluded = True
@@ -34,6 +34,7 @@
     def refuse(
         self, retry_after_ms: float, refusal_reason: RefusalReason = RefusalReason.UNAVAILABLE
     ) -> bool:
+        """Refuses the call. False if it already has its final answer."""
         if self.concluded:
             return False
         self.concluded = True
@@ -41,7 +42,7 @@
         return True
 
     def cancel(self) -> bool:
-        """The caller stopped waiting: no answer is owed and none may follow."""
+        """The caller cancelled: no answer may follow. False if the call already has its final answer."""
         if self.concluded:
             return False
         self.concluded = True
@@ -49,7 +50,7 @@
 
 
 class EstablishedCall:
-    """A call that stands: it belongs to no connection."""
+    """An established call. It is bound to no connection."""
 
     __slots__ = ("offer", "number", "attempt", "description", "since_ms")
 
