--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -1,4 +1,8 @@
-"""The core: one thread that owns the decision module, an inbox and a timer heap. It touches no socket."""
+"""The core: one thread that owns the decision module, an inbox and a timer heap.
+
+It turns events of the fronts into events of the decision module and carries out the module's actions. It does
+no I/O itself.
+"""
 
 from __future__ import annotations
 
@@ -58,28 +62,27 @@
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import log_event, log_text
 
-MAX_INBOX_SIZE = 4096  # set-ups above this are refused by the front at once
-MAX_PENDING_CALLS = 4000  # calls waiting for an answer
-MAX_ESTABLISHED_CALLS = 20000  # above this the one that has stood longest is no longer followed
-REPEAT_WINDOW_MS = 1500.0  # after its answer, a set-up may come again whose connection has ended
-DUPLICATE_ANSWER_MS = (
-    50.0  # a lab hub's answer may come twice: until then none is out there that could be meant
-)
-MAX_ENDED_CALLS = 4096  # calls that ended without standing and are still known
-MAX_BATCH_SIZE = 256
-DEADLINE_MARGIN_MS = 30.0  # before a call's deadline the core answers by itself if the module has not
-RELEASE_MARGIN_MS = 10.0  # a release counts from where it arrives, which is later than where it was decided
-PROBE_TIMEOUT_MS = 250.0  # a probe without an answer by then has failed
-CAUSE_CALL_CUT = 41  # the call was cut; 16 is an ordinary end
-NOT_ANSWERED = (Ending.TIMED_OUT, Ending.UNREACHABLE)  # no lab hub said so
+MAX_INBOX_SIZE = 4096  # events; above this, set-ups are refused at once
+MAX_PENDING_CALLS = 4000  # further set-ups are refused
+MAX_ESTABLISHED_CALLS = 20000  # above this the oldest established call is no longer tracked
+REPEAT_WINDOW_MS = 1500.0  # after the answer, for a caller that lost its connection and repeats the set-up
+# A lab hub may repeat an answer: for so long no new attempt goes to it that the repeat could be taken for
+DUPLICATE_ANSWER_MS = 50.0
+MAX_ENDED_CALLS = 4096  # calls that ended without being established and are still remembered
+MAX_BATCH_SIZE = 256  # events handled in one turn
+DEADLINE_MARGIN_MS = 30.0  # so long before its deadline the core refuses a call that has no answer
+RELEASE_MARGIN_MS = 10.0  # the release time counts from its arrival at the hub, later than the decision here
+PROBE_TIMEOUT_MS = 250.0
+CAUSE_CALL_CUT = 41  # Q.850 temporary failure: the call was cut; 16 is normal clearing
+NOT_ANSWERED = (Ending.TIMED_OUT, Ending.UNREACHABLE)  # outcomes without an answer of the lab hub
 REFUSAL_REASONS = {Reason.LINES_BUSY: RefusalReason.BUSY}
 
-STOP_POLL_MS = 20.0  # while the program is ending
+STOP_POLL_MS = 20.0  # between checks of the lifecycle while the program is stopping
 
 
 @dataclass(frozen=True, slots=True)
 class DelayedAttempt:
-    """An attempt that is decided and goes out a little later."""
+    """A timer event: the attempt is decided and is sent when the timer fires."""
 
     attempt: Attempt
 
@@ -88,7 +91,7 @@
 
 
 class Inbox:
-    """The only way into the core. Set-ups are turned away when it is full; other news waits for room."""
+    """The event queue of the core. When it is full, set-ups are refused and other events block the sender."""
 
     def __init__(self) -> None:
         self.queue: queue.Queue[CoreEvent] = queue.Queue(MAX_INBOX_SIZE * 2)
@@ -96,24 +99,25 @@
         self.closed = False
 
     def offer(self, offer: Offer) -> bool:
-        """False: the inbox is full, or the core has ended; the caller has to be refused where it stands."""
+        """Queues a set-up. False if the inbox is full or the core has ended: the front must refuse it."""
         if self.closed or self.queue.qsize() >= MAX_INBOX_SIZE:
             return False
         self.queue.put(offer)
         return True
 
     def put(self, event: CoreEvent) -> None:
+        """Queues an event; blocks while the queue is full."""
         self.queue.put(event)
 
     def put_from_core(self, event: CoreEvent) -> None:
-        """For the core's own thread, which must not wait for room: it alone makes room."""
+        """Queues an event from the core's own thread, which must not block: it alone empties the queue."""
         self.core_events.append(event)
 
     def size(self) -> int:
         return len(self.core_events) + self.queue.qsize()
 
     def take(self, until_ms: float) -> Iterator[CoreEvent]:
-        """Waits until something comes or `until_ms`; then all that is there, up to a batch."""
+        """Waits for an event, at most until `until_ms`; then yields all queued events, up to a batch."""
         must_wait = not self.core_events
         while self.core_events:
             yield self.core_events.popleft()
@@ -127,7 +131,10 @@
 
 
 class Broker:
-    """Events in, actions out. `released` hands releases of calls that are not known here to the callers."""
+    """Owns all calls and the decision module.
+
+    `release_unknown` passes releases of calls that are not known here on to the callers.
+    """
 
     def __init__(
         self,
@@ -149,11 +156,11 @@
         self.guard = Guard(settings)
         self.class_indexes = {call_class.name: index for index, call_class in enumerate(settings.classes)}
         self.numbers = itertools.count(1)
-        self.known_hub_numbers: set[int] = set()  # numbers that a lab hub has or had
+        self.known_hub_numbers: set[int] = set()  # each number that a lab hub has or had
         self.pending: dict[str, PendingCall] = {}
         self.pending_by_number: dict[int, PendingCall] = {}
         self.established: dict[str, EstablishedCall] = {}
-        # the last calls that ended without standing, and until when none may be sent under their ids
+        # calls that recently ended without being established: until when no set-up may reuse their ids
         self.ended: OrderedDict[str, float] = OrderedDict()
         self.timers: list[tuple[float, int, Timer]] = []
         self.timer_order = itertools.count()
@@ -165,11 +172,12 @@
     # --- the loop ---
 
     def run(self) -> None:
+        """Handles events until the core may end."""
         while self.lifecycle.core_running:
             self.run_once()
 
     def run_once(self) -> None:
-        """One batch: all of it happens at one time, as the decision module expects."""
+        """Handles a batch of events, then the due timers, all at one time as the decision module expects."""
         due_ms = self.timers[0][0] if self.timers else now_ms() + 1000
         if not self.lifecycle.healthy:
             due_ms = min(due_ms, now_ms() + STOP_POLL_MS)
@@ -180,16 +188,17 @@
         while self.timers and self.timers[0][0] <= self.now:
             self._handle_safely(heapq.heappop(self.timers)[2])
         if not self.lifecycle.healthy:
-            # guards against what the kill would find unanswered
+            # refuses pending calls in time before the platform kills the process
             if self.lifecycle.check_core(len(self.pending), self.inbox.size(), self.now):
                 for call in list(self.pending.values()):
                     self._refuse_pending(call)
             self.inbox.closed = not self.lifecycle.accepts_set_ups
 
     def _handle_safely(self, event: CoreEvent | Timer) -> None:
+        """Handles one event; after an exception a set-up without an attempt is refused."""
         try:
             self._handle(event)
-        except Exception:  # guards the other calls: one event that goes wrong must not end the program
+        except Exception:  # one faulty event must not end the program and all other calls
             traceback.print_exc(file=sys.stderr)
             if isinstance(event, Offer):
                 call = self.pending.get(event.call_id)
@@ -229,7 +238,7 @@
                 self.known_hub_numbers.update(entry.number for entry in change.entries)
                 self.guard.update_hubs(change)
                 self._notify_module(change)
-                for entry in change.entries:  # what stood before its process started is over
+                for entry in change.entries:  # calls from before its restart are lost
                     if entry.came_up_ms > 0:
                         self._handle_hub_failed(entry.exchange, entry.came_up_ms)
             case ContractsChanged(contracts):
@@ -254,15 +263,13 @@
             return
         call = PendingCall(offer, next(self.numbers))
         if pending_call is not None or offer.call_id in self.established:
-            # guards against whoever uses the id of another's call: it would be told that call's answer
+            # the id belongs to another call: this caller must not get that call's answer
             call.refuse(0.0, RefusalReason.FAILED)
             return
         class_index = self.class_indexes.get(offer.class_name)
         team_retry_after_ms = self.contracts.admit(offer.team, offer.class_name, offer.call_id, self.now)
         if class_index is None or offer.destination not in self.known_hub_numbers:
-            call.refuse(
-                0.0, RefusalReason.FAILED
-            )  # guards the module's tables against numbers that no hub had
+            call.refuse(0.0, RefusalReason.FAILED)  # keeps unknown numbers out of the module's tables
         elif team_retry_after_ms > 0:
             call.refuse(team_retry_after_ms)
         elif team_retry_after_ms < 0:
@@ -270,7 +277,7 @@
         elif len(self.pending) >= MAX_PENDING_CALLS or self.now >= offer.deadline_ms - DEADLINE_MARGIN_MS:
             call.refuse(self._retry_after_ms())
         elif self.now < self.ended.get(offer.call_id, 0.0):
-            call.refuse(self._retry_after_ms())  # its last attempt is still being released at a lab hub
+            call.refuse(self._retry_after_ms())  # the last attempt of this id is still being released
         if call.concluded or class_index is None:
             log_event("refused", call=offer.call_id, by="core", attempts=0, known=pending_call is not None)
             self.contracts.call_ended(offer.call_id)
@@ -292,7 +299,10 @@
         )
 
     def _take_over_repeat(self, offer: Offer, known: PendingCall | EstablishedCall | None) -> bool:
-        """A set-up whose connection has ended and that comes on a new one: its answer goes there."""
+        """Answers a repeated set-up on its new connection, if the first connection has ended.
+
+        Returns false if the set-up is not such a repeat.
+        """
         if known is None or not offer.is_repeat_of(known.offer) or known.offer.caller.reachable():
             return False
         if isinstance(known, EstablishedCall):
@@ -304,14 +314,14 @@
         return True
 
     def _handle_cancel(self, event: SetUpCancelled) -> None:
-        # guards against whoever gives up a set-up under the id of another's call
+        # only the connection that the set-up came on may cancel it, not another one that uses the same id
         call, established_call = self.pending.get(event.call_id), self.established.get(event.call_id)
         if call is not None:
             if call.offer.caller.origin is event.caller.origin and call.cancel():
                 log_event("withdrawn", call=event.call_id, attempts=call.attempt_count)
                 self._abandon(call)
         elif established_call is not None and established_call.offer.caller.origin is event.caller.origin:
-            self._handle_caller_release(event.call_id)  # it crossed the answer
+            self._handle_caller_release(event.call_id)  # the CANCEL crossed the answer
 
     def _handle_caller_release(self, call_id: str) -> None:
         established_call = self.established.pop(call_id, None)
@@ -322,21 +332,21 @@
         self._notify_module(self._call_ended_event(established_call, Ending.CANCELLED))
 
     def _handle_deadline(self, call_id: str) -> None:
-        """Guards against a call left without its answer, whatever became of the decision on it."""
+        """Refuses the call shortly before its deadline if the decision module has not concluded it."""
         call = self.pending.get(call_id)
         if call is None or self.now < call.deadline_ms - DEADLINE_MARGIN_MS:
             return
         self._refuse_pending(call)
 
     def _refuse_pending(self, call: PendingCall) -> None:
-        """The core's own refusal, without asking the module; nothing where the answer has been given."""
+        """Refuses a pending call without asking the decision module; does nothing if it has its answer."""
         if call.refuse(self._retry_after_ms(), call.refusal_reason):
             log_event("refused", call=call.offer.call_id, why=call.refusal_reason.value, by="core",
                    attempts=call.attempt_count)  # fmt: skip
             self._abandon(call)
 
     def _abandon(self, call: PendingCall) -> None:
-        """The call is over for its caller: an attempt still out is called off."""
+        """Removes a call that is over for its caller and cancels its pending attempt."""
         attempt = call.attempt
         if attempt is not None:
             call.not_before_ms = self.now + self.settings.release_ms
@@ -371,7 +381,7 @@
     def _handle_established(self, event: AttemptEstablished) -> None:
         attempt, call_id = event.attempt, event.attempt.offer.call_id
         call = self._pending_for(attempt)
-        if call is None:  # it crossed our giving up: what stands there for nobody is released
+        if call is None:  # the answer crossed our cancel: the call established at that hub is released
             established_call = self.established.get(call_id)
             other_call = self.pending.get(call_id)
             if not (established_call and established_call.attempt.hub == attempt.hub) and not (
@@ -416,7 +426,7 @@
 
     def _handle_attempt_timeout(self, attempt: Attempt) -> None:
         if self._pending_for(attempt) is not None:
-            # guards the module against taking a connection that fell silent for a processor that is slow
+            # a connection that fell silent must not count as a slow processor in the decision module
             connection_silent = self.hubs.cancel(attempt)
             self._handle_attempt_failed(
                 AttemptFailed(attempt, Ending.CANCELLED if connection_silent else Ending.TIMED_OUT)
@@ -443,7 +453,7 @@
             self._handle_unmatched_release(event)
             return
         if established_call.attempt.hub != event.hub:
-            return  # a late word on an attempt that was given up; the call stands elsewhere
+            return  # late, of a cancelled attempt: the call is established at another hub
         del self.established[event.call_id]
         self.contracts.call_ended(event.call_id)
         established_call.offer.caller.release(event.cause)
@@ -451,7 +461,11 @@
         self._notify_module(self._call_ended_event(established_call, ending, event.load_values))
 
     def _handle_unmatched_release(self, event: HubReleased) -> None:
-        """A caller hears of an end only after its answer, or if the call is from before a restart."""
+        """Handles the release of a call that is not established here.
+
+        If its answer has not arrived, the release is kept until then. If the call is unknown, it may be
+        from before a restart: the release is passed on to the callers.
+        """
         call = self.pending.get(event.call_id)
         if call is not None:
             is_current = call.attempt is not None and call.attempt.hub == event.hub
@@ -471,7 +485,7 @@
             if established_call.attempt.hub == hub and established_call.attempt.sent_ms < before_ms
         ]
         if cut_call_ids:
-            log_text(f"{hub!r} is gone: {len(cut_call_ids)} calls that stood there are released")
+            log_text(f"{hub!r} is gone: {len(cut_call_ids)} established calls there are released")
         for call_id in cut_call_ids:
             if call_id in self.established:
                 self._handle_hub_release(HubReleased(call_id, hub, CAUSE_CALL_CUT))
@@ -501,7 +515,7 @@
             case Say(text):
                 log_text(text)
             case _:
-                pass  # the platform tells news by itself, and border controllers have no way to talk
+                pass  # the platform pushes the hub list unasked, and border controllers exchange no messages
 
     def _execute_refusal(self, call_number: int, retry_after_ms: float, reason: RefusalReason | None) -> None:
         call = self.pending_by_number.get(call_number)
@@ -522,7 +536,7 @@
             return
         objection = self.guard.objection(call, hub, self.now)
         if objection:
-            log_text(f"set-up of {call.offer.call_id} held back: {objection}")
+            log_text(f"set-up of call {call.offer.call_id} not sent: {objection}")
             self._notify_module(
                 AttemptEnded(call_number, hub, call.attempt_count, Ending.NOT_SENT, False, 0.0)
             )
