--- a/landingdeal/core/__init__.py
+++ b/landingdeal/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: knows calls, deadlines and the five rules, and no wire."""
+"""The core: calls, deadlines and the five rules, independent of the protocols of the fronts."""
--- a/landingdeal/core/contracts_file.py
+++ b/landingdeal/core/contracts_file.py
@@ -1,4 +1,4 @@
-"""The section `[[contract]]` of the operator's file."""
+"""Reads the `[[contract]]` tables of the operator's file."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def read_contracts(rows: list[dict[str, Any]]) -> tuple[Contract, ...]:
-    """Raises ConfigError, or KeyError, TypeError and ValueError on a value of the wrong kind."""
+    """Raises ConfigError, or KeyError, TypeError or ValueError on a missing or malformed value."""
     contracts = tuple(_read_contract(row) for row in rows)
     if len({contract.team for contract in contracts}) < len(contracts):
-        raise ConfigError("the operator's file has two contracts of one team")
+        raise ConfigError("the operator's file has two contracts for the same team")
     return contracts
 
 
--- a/landingdeal/core/guard.py
+++ b/landingdeal/core/guard.py
@@ -1,4 +1,4 @@
-"""The last look before a send: the five rules, for both fronts, whatever the decision module asked for."""
+"""The last check before a set-up is sent: the five rules hold whatever the decision module decided."""
 
 from __future__ import annotations
 
@@ -7,28 +7,33 @@
 from badgerstile.interface import ExchangeList, Health, ListKind, Settings
 from landingdeal.core.exchange import PendingCall
 
-COLD_LIMIT_SHARE = 0.8  # of what a cold processor may be sent; the rest is left for chance
+COLD_LIMIT_SHARE = (
+    0.8  # of the set-ups that a cold processor may get; the rest is a margin for random variation
+)
 
-MAX_GONE_HUBS = 32  # lab hubs that are gone and still known here, the last ones
+MAX_GONE_HUBS = 32  # removed lab hubs that are still remembered, the latest ones
 
 
 class GuardedHub:
-    """What the guard knows of one lab hub."""
+    """What the guard knows of one lab hub; `came_up_ms` is the start of its process, 0 for long ago."""
 
     __slots__ = ("health", "came_up_ms", "capacity_per_s", "send_times_ms")
 
     def __init__(self) -> None:
         self.health, self.came_up_ms = Health.READY, 0.0
-        self.capacity_per_s = 0.0  # the most it ever said that it can take from all senders
+        self.capacity_per_s = 0.0  # the highest rate that it ever reported to accept from all senders
         self.send_times_ms: deque[float] = deque(maxlen=256)
 
 
 class Guard:
+    """Checks each set-up against the hub list, the state of its call and the limit of cold processors."""
+
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.hubs: dict[bytes, GuardedHub] = {}
 
     def update_hubs(self, change: ExchangeList) -> None:
+        """Applies a change of the hub list, or a whole list."""
         listed = set()
         for entry in change.entries:
             listed.add(entry.exchange)
@@ -40,38 +45,40 @@
                 if name not in listed:
                     hub.health = Health.GONE
         gone = [name for name, hub in self.hubs.items() if hub.health is Health.GONE]
-        for name in gone[:-MAX_GONE_HUBS]:  # guards the memory on days when each lab hub is a new one
+        for name in gone[:-MAX_GONE_HUBS]:  # bounds the memory where each lab hub comes under a new name
             del self.hubs[name]
 
     def update_capacity(self, name: bytes, per_s: float) -> None:
+        """Records the rate of set-ups that a lab hub reports to accept."""
         hub = self.hubs.get(name)
         if hub is not None:
             hub.capacity_per_s = max(hub.capacity_per_s, per_s)
 
     def objection(self, call: PendingCall, name: bytes, now: float) -> str:
-        """Why this set-up may not go out now; empty if it may."""
+        """Why this set-up must not be sent now; empty if it may."""
         hub = self.hubs.get(name)
         if call.concluded or now >= call.deadline_ms:
-            return "rule 1: the call has had its answer or its time is up"
+            return "rule 1: the call has its answer or its deadline has passed"
         if call.attempt is not None:
-            return "rule 2: an attempt is out"
+            return "rule 2: an attempt is pending"
         if hub is None:
-            return "the lab hub is in no list"
-        if hub.health is not Health.READY:  # no use is made of the grace: what was told holds at once
-            return "rule 3: the lab hub drains or is gone"
+            return "the lab hub is in no hub list"
+        if hub.health is not Health.READY:  # the drain grace is not used: a change applies at once
+            return "rule 3: the lab hub is draining or gone"
         if now < call.not_before_ms:
-            return "rule 5: the release of the last attempt is awaited"
+            return "rule 5: the last attempt is still being released"
         if call.attempt_count >= self.settings.max_attempts:
-            return "the call has had all its attempts"
+            return "the call has used all its attempts"
         if self._exceeds_cold_limit(hub, now):
-            return "rule 4: the lab hub's processor is cold and has had its share"
+            return "rule 4: the lab hub's processor is cold and has received its share"
         return ""
 
     def record_send(self, name: bytes, now: float) -> None:
+        """Counts a set-up sent to a lab hub."""
         self.hubs[name].send_times_ms.append(now)
 
     def _exceeds_cold_limit(self, hub: GuardedHub, now: float) -> bool:
-        """Guards a cold processor against the sum of all border controllers: each keeps to its own part."""
+        """Whether one more set-up exceeds this border controller's part of what a cold processor accepts."""
         age_ms = now - hub.came_up_ms
         if hub.came_up_ms <= 0 or age_ms >= self.settings.cold_ms or hub.capacity_per_s <= 0:
             return False
--- a/landingdeal/core/lifecycle.py
+++ b/landingdeal/core/lifecycle.py
@@ -1,12 +1,11 @@
-"""The end of life, of the program and of each connection from callers: who may go, and when.
+"""Shutdown: the phases of the program, and when a connection from a caller may be closed.
 
-No I/O and no clock: whoever holds it tells what is seen and asks what may be done. The program moves only
-forward:
+No I/O and no clock: callers report what they observe and query what is allowed. Phases only advance:
 
-    RUNNING    accepts connections and takes set-ups
-    DRAINING   asked to stop: its test fails, so that no new caller is sent here; whoever comes is served
-    FINISHING  nobody comes any more: set-ups are refused at once, what is open gets its answer
-    FLUSHING   the core has ended: what is owed is refused, each connection goes once all is written
+    RUNNING    accepts connections and set-ups
+    DRAINING   stop requested: health checks fail, so that no new caller is sent here; set-ups are served
+    FINISHING  callers no longer arrive: set-ups are refused at once, pending calls get their answer
+    FLUSHING   the core has ended: unanswered set-ups are refused, a connection closes once all is written
     ENDED      the process may exit
 """
 
@@ -18,6 +17,8 @@
 
 
 class Phase(IntEnum):
+    """See the module's description; the names are written to the log."""
+
     RUNNING = 0
     DRAINING = 1
     FINISHING = 2
@@ -25,54 +26,52 @@
     ENDED = 4
 
 
-MAX_DEADLINE_MS = 3000.0  # a longer deadline counts as this for the kill
-KILL_AFTER_DEADLINE_MS = 700.0  # the kill comes the longest deadline, and so much more, after the stop
-ACCEPT_AFTER_STOP_MS = (
-    700.0  # callers come for 0.6 s; what comes later than this has to be answered by the kill
-)
-ANSWER_BEFORE_KILL_MS, EXIT_BEFORE_KILL_MS = 300.0, 100.0  # the kill
-REFUSE_BEFORE_ANSWER_BY_MS = 100.0  # at least so long before all is answered, set-ups are no longer taken
+MAX_DEADLINE_MS = 3000.0  # a longer deadline counts as this for the time of the kill
+KILL_AFTER_DEADLINE_MS = 700.0  # the kill comes the longest deadline plus this after the stop
+# Callers go on arriving for 0.6 s; what arrives later than this still has to be answered before the kill
+ACCEPT_AFTER_STOP_MS = 700.0
+ANSWER_BEFORE_KILL_MS, EXIT_BEFORE_KILL_MS = 300.0, 100.0
+REFUSE_BEFORE_ANSWER_BY_MS = 100.0  # set-ups are refused at least so long before all must be answered
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownTimes:
-    """Milliseconds after the stop."""
+    """Limits of the phases, in milliseconds after the stop request."""
 
     refuse_after_ms: float = ACCEPT_AFTER_STOP_MS
-    answer_by_ms: float = (
-        MAX_DEADLINE_MS + KILL_AFTER_DEADLINE_MS - ANSWER_BEFORE_KILL_MS
-    )  # by then every open call has been answered
-    exit_by_ms: float = (
-        MAX_DEADLINE_MS + KILL_AFTER_DEADLINE_MS - EXIT_BEFORE_KILL_MS
-    )  # by then the process has exited, whatever is left
-    max_flush_ms: float = 1000.0  # the most, counted from when the core ended: for a peer that does not read
+    # by then every pending call has its answer
+    answer_by_ms: float = MAX_DEADLINE_MS + KILL_AFTER_DEADLINE_MS - ANSWER_BEFORE_KILL_MS
+    # by then the process has exited, whatever is unfinished
+    exit_by_ms: float = MAX_DEADLINE_MS + KILL_AFTER_DEADLINE_MS - EXIT_BEFORE_KILL_MS
+    max_flush_ms: float = 1000.0  # after the core has ended, for peers that do not read
 
 
 def times_before_kill(longest_deadline_ms: float, flush_ms: float = 1000.0) -> ShutdownTimes:
-    """For a deployment with this longest deadline of all classes; the kill is counted from it."""
-    kill = min(longest_deadline_ms, MAX_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS
-    answers = kill - ANSWER_BEFORE_KILL_MS
+    """The times for a deployment whose longest deadline of all classes, which sets the kill, is this."""
+    kill_ms = min(longest_deadline_ms, MAX_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS
+    answer_by_ms = kill_ms - ANSWER_BEFORE_KILL_MS
     return ShutdownTimes(
-        min(ACCEPT_AFTER_STOP_MS, answers - REFUSE_BEFORE_ANSWER_BY_MS),
-        answers,
-        kill - EXIT_BEFORE_KILL_MS,
+        min(ACCEPT_AFTER_STOP_MS, answer_by_ms - REFUSE_BEFORE_ANSWER_BY_MS),
+        answer_by_ms,
+        kill_ms - EXIT_BEFORE_KILL_MS,
         flush_ms,
     )
 
 
 class Lifecycle:
-    """One thread at a time moves it: the core's until the core ends, then the main thread."""
+    """The phase of the program. One thread at a time advances it: the core's, then the main thread."""
 
     def __init__(self, times: ShutdownTimes = ShutdownTimes()) -> None:  # noqa: B008 (frozen)
         self.times = times
-        self.phase_listeners: list[Callable[[], None]] = []  # told of each new phase; none may block
+        self.phase_listeners: list[Callable[[], None]] = []  # called at each new phase; must not block
         self._phase = Phase.RUNNING
         self.stop_ms = float("inf")
-        self.flush_ms = float("inf")  # when the core ended
-        self.open_listeners = 0  # listeners that may still hold connections
+        self.flush_ms = float("inf")  # time at which the core ended
+        self.open_listeners = 0  # listening sockets that may still hold connections to be accepted
 
     @property
     def phase(self) -> Phase:
+        """The current phase."""
         return self._phase
 
     def _enter(self, phase: Phase) -> None:
@@ -80,29 +79,31 @@
         for listener in self.phase_listeners:
             listener()
 
-    # --- what is asked ---
+    # --- queries ---
 
     @property
     def healthy(self) -> bool:
-        """Whether a test is passed."""
+        """Whether health checks pass."""
         return self.phase is Phase.RUNNING
 
     @property
     def accepts_connections(self) -> bool:
+        """Whether new connections are accepted."""
         return self.phase <= Phase.DRAINING
 
     @property
     def accepts_set_ups(self) -> bool:
-        """Whether set-ups are taken; they are refused at once where not."""
+        """Whether set-ups are handled; otherwise they are refused at once."""
         return self.phase <= Phase.DRAINING
 
     @property
     def core_running(self) -> bool:
+        """Whether the core still handles events."""
         return self.phase <= Phase.FINISHING
 
     @property
     def phase_deadline_ms(self) -> float:
-        """When the phase ends at the latest; infinity while nobody asked to stop."""
+        """The latest end of the current phase; infinity before a stop request."""
         match self.phase:
             case Phase.RUNNING:
                 return float("inf")
@@ -113,10 +114,10 @@
             case _:
                 return min(self.flush_ms + self.times.max_flush_ms, self.stop_ms + self.times.exit_by_ms)
 
-    # --- what is told ---
+    # --- observations ---
 
     def request_stop(self, now: float) -> bool:
-        """False if it had been asked before: a second signal hurries nothing."""
+        """Begins the shutdown. False if it has begun before: a second signal changes nothing."""
         if self.phase is not Phase.RUNNING:
             return False
         self.stop_ms = now
@@ -124,9 +125,10 @@
         return True
 
     def check_core(self, open_calls: int, inbox: int, now: float) -> bool:
-        """After each batch; `inbox` counts what the core has not handled. True: all that is open is refused.
+        """Called after each batch; `inbox` counts the events not handled yet. True: refuse all pending calls.
 
-        A listener that was not emptied yet holds the end back: who waits there was let in by the machine.
+        The core does not end before all listeners are drained: the system has accepted the connections that
+        wait there.
         """
         overdue = False
         if self.phase is Phase.DRAINING and now >= self.phase_deadline_ms:
@@ -138,7 +140,7 @@
         return overdue and open_calls > 0
 
     def core_stopped(self, now: float) -> None:
-        """The core's thread is no more, for whatever reason: there is nobody left to decide."""
+        """The core's thread has ended, for whatever reason: no more calls can be decided."""
         if self.core_running:
             self.stop_ms = min(self.stop_ms, now)
             self._core_ended(now)
@@ -148,44 +150,45 @@
         self._enter(Phase.FLUSHING)
 
     def check_flush(self, connections: int, now: float) -> None:
-        """`connections` counts those that may not go yet, and releases that are not through."""
+        """Called while flushing; `connections` counts connections and releases that are not finished yet."""
         if self.phase is Phase.FLUSHING and (not connections or now >= self.phase_deadline_ms):
             self._enter(Phase.ENDED)
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionState:
-    """One connection from a caller, as it is at one moment."""
+    """What a connection from a caller still has to do, at one moment."""
 
-    unanswered: int  # set-ups taken whose final answer is not queued yet
-    unsent: int  # messages queued that the system has not taken yet
-    unread: bool  # bytes the system has received that were not handled to the end
+    unanswered: int  # set-ups received whose final answer is not queued yet
+    unsent: int  # queued messages that are not passed to the system yet
+    unread: bool  # whether received bytes are not fully handled yet
 
 
 def may_close(state: ConnectionState) -> bool:
-    """Whether nothing taken stands on it. What comes after this moment crosses the close."""
+    """Whether nothing received is unfinished. Input that arrives after this moment crosses the close."""
     return state.unanswered == 0 and state.unsent == 0 and not state.unread
 
 
 @dataclass(frozen=True, slots=True)
 class IdleConnection:
-    """A connection with no set-up open, as a candidate to be closed for room."""
+    """A connection without a pending set-up: a candidate for closing to free its descriptor."""
 
-    number: int  # the caller's of `spare`
+    number: int  # identifies it to the caller of `connections_to_close`
     last_received_ms: float
     connected_ms: float
-    has_sent_message: bool  # it has sent something whole
+    has_sent_message: bool  # it has sent at least one complete message
 
 
-MIN_IDLE_KEPT = 4  # so many of the idle are kept all the same: a release may need one
-IDLE_MS = 8000.0  # a usual caller closes after 4 s without a call: this one only holds its connection
-FIRST_MESSAGE_MS = 200.0  # after its connect a usual caller has sent its set-up
+MIN_IDLE_KEPT = 4  # idle connections kept in any case: a release may need one
+IDLE_MS = 8000.0  # a normal caller closes after 4 s without a call
+FIRST_MESSAGE_MS = 200.0  # a normal caller has sent its set-up so long after connecting
 
 
 def connections_to_close(idle: Iterable[IdleConnection], crowded: int, now: float) -> list[int]:
-    """Which may be closed, first to go first: those that say nothing, then the idlest.
+    """The numbers of the connections to close: first those without a message, then the longest idle.
 
-    `crowded`: how many have to go for room; zero or less where there is room, and then only the idle go.
+    `crowded` is how many must be closed to free descriptors. If it is zero or less, only connections idle for
+    `IDLE_MS` are closed.
     """
     order = sorted(
         idle,
@@ -195,5 +198,5 @@
         ),
     )
     old = [connection for connection in order[:-MIN_IDLE_KEPT] if now - connection.last_received_ms > IDLE_MS]
-    # all candidates: one that turns out not to be idle is passed over for the next
+    # all candidates: the caller skips those that turn out not to be idle
     return [connection.number for connection in (order if len(old) < crowded else old)]
