--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -19,22 +19,22 @@
 from badgerstile.interface import (
     Action,
     AttemptEnded,
-    CallerLeft,
+    AttemptOutcome,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
-    CallStands,
-    Ending,
     Event,
-    Figure,
-    GiveUp,
+    FailCall,
+    LoadField,
+    LogMessage,
     Probe,
-    Reason,
     Refuse,
+    RejectionReason,
     Report,
-    Say,
+    SetTimer,
     Settings,
     SetUp,
-    WakeAt,
-    Woken,
+    TimerFired,
 )
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.contracts import Contracts
@@ -74,8 +74,11 @@
 RELEASE_MARGIN_MS = 10.0  # the release time counts from its arrival at the hub, later than the decision here
 PROBE_TIMEOUT_MS = 250.0
 CAUSE_CALL_CUT = 41  # Q.850 temporary failure: the call was cut; 16 is normal clearing
-NOT_ANSWERED = (Ending.TIMED_OUT, Ending.UNREACHABLE)  # outcomes without an answer of the lab hub
-REFUSAL_REASONS = {Reason.LINES_BUSY: RefusalReason.BUSY}
+NOT_ANSWERED = (
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.UNREACHABLE,
+)  # outcomes without an answer of the lab hub
+REFUSAL_REASONS = {RejectionReason.LINES_BUSY: RefusalReason.BUSY}
 
 STOP_POLL_MS = 20.0  # between checks of the lifecycle while the program is stopping
 
@@ -87,7 +90,7 @@
     attempt: Attempt
 
 
-Timer = Attempt | DelayedAttempt | Woken | str
+Timer = Attempt | DelayedAttempt | TimerFired | str
 
 
 class Inbox:
@@ -146,7 +149,7 @@
         contracts: Contracts | None = None,
         lifecycle: Lifecycle | None = None,
     ) -> None:
-        settings = replace(settings, release_ms=settings.release_ms + RELEASE_MARGIN_MS)
+        settings = replace(settings, release_wait_ms=settings.release_wait_ms + RELEASE_MARGIN_MS)
         self.settings = settings
         self.inbox = inbox
         self.hubs = hubs
@@ -166,7 +169,7 @@
         self.timer_order = itertools.count()
         self.now = now_ms()
         self.lifecycle = lifecycle or Lifecycle()
-        capacity_indexes = [n for n, f in enumerate(settings.figures) if f is Figure.ROOM_PER_S]
+        capacity_indexes = [n for n, f in enumerate(settings.load_fields) if f is LoadField.CAPACITY_PER_S]
         self.capacity_index = capacity_indexes[0] if capacity_indexes else -1
 
     # --- the loop ---
@@ -239,8 +242,8 @@
                 self.guard.update_hubs(change)
                 self._notify_module(change)
                 for entry in change.entries:  # calls from before its restart are lost
-                    if entry.came_up_ms > 0:
-                        self._handle_hub_failed(entry.exchange, entry.came_up_ms)
+                    if entry.started_ms > 0:
+                        self._handle_hub_failed(entry.exchange, entry.started_ms)
             case ContractsChanged(contracts):
                 self.contracts.replace(contracts, self.now)
             case StopRequested(requested_ms):
@@ -250,7 +253,7 @@
             case DelayedAttempt(attempt):
                 if self._pending_for(attempt) is not None:
                     self.hubs.set_up(attempt)
-            case Woken():
+            case TimerFired():
                 self._notify_module(event)
             case str():
                 self._handle_deadline(event)
@@ -291,10 +294,10 @@
                 class_index,
                 offer.width,
                 offer.deadline_ms - self.now,
-                advised=offer.advised_tandem,
+                advised_number=offer.advised_tandem,
                 in_transit=offer.in_transit,
-                again_after_cut=offer.again_after_cut,
-                called=offer.called_number,
+                is_redial_after_cut=offer.again_after_cut,
+                called_number=offer.called_number,
             )
         )
 
@@ -329,7 +332,7 @@
             return
         self.contracts.call_ended(call_id)
         self.hubs.release(established_call.attempt.hub, call_id)
-        self._notify_module(self._call_ended_event(established_call, Ending.CANCELLED))
+        self._notify_module(self._call_ended_event(established_call, AttemptOutcome.CANCELLED))
 
     def _handle_deadline(self, call_id: str) -> None:
         """Refuses the call shortly before its deadline if the decision module has not concluded it."""
@@ -349,13 +352,13 @@
         """Removes a call that is over for its caller and cancels its pending attempt."""
         attempt = call.attempt
         if attempt is not None:
-            call.not_before_ms = self.now + self.settings.release_ms
+            call.not_before_ms = self.now + self.settings.release_wait_ms
         self._remove_pending(call)
-        self._notify_module(CallerLeft(call.number))
+        self._notify_module(CallAbandoned(call.number))
         if attempt is not None:
             self.hubs.cancel(attempt)
             self._notify_module(
-                AttemptEnded(call.number, attempt.hub, attempt.number, Ending.CANCELLED, True,
+                AttemptEnded(call.number, attempt.hub, attempt.number, AttemptOutcome.CANCELLED, True,
                              self.now - attempt.sent_ms)
             )  # fmt: skip
 
@@ -370,7 +373,7 @@
                 self.ended.popitem(last=False)
 
     def _retry_after_ms(self) -> float:
-        return self.settings.max_retry_advice_ms if self.settings.retry_advice else 0.0
+        return self.settings.max_retry_after_ms if self.settings.sends_retry_after else 0.0
 
     # --- lab hubs ---
 
@@ -396,7 +399,9 @@
         self.established[call_id] = EstablishedCall(call, attempt, event.description, self.now)
         call.answer(event.description)
         self._remove_pending(call)
-        self._notify_module(CallStands(call.number, attempt.hub, attempt.number, self.now - attempt.sent_ms))
+        self._notify_module(
+            CallEstablished(call.number, attempt.hub, attempt.number, self.now - attempt.sent_ms)
+        )
         if call.early_release is not None:
             self._handle_hub_release(call.early_release)
 
@@ -407,20 +412,20 @@
         if call is None:
             return
         call.attempt = None
-        if event.ending not in NOT_ANSWERED:
+        if event.outcome not in NOT_ANSWERED:
             call.refused_ms_by_hub[attempt.hub] = self.now
         log_event("attempt_ended", call=attempt.offer.call_id, hub=attempt.hub, number=attempt.number,
-               ending=event.ending.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
-        timed_out = event.ending is Ending.TIMED_OUT
+               ending=event.outcome.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
+        timed_out = event.outcome is AttemptOutcome.TIMED_OUT
         call.refusal_reason = (
             RefusalReason.TIMED_OUT
             if timed_out
             else REFUSAL_REASONS.get(event.reason, RefusalReason.UNAVAILABLE)
         )
-        if event.ending in (Ending.TIMED_OUT, Ending.CUT, Ending.CANCELLED):
-            call.not_before_ms = self.now + self.settings.release_ms
+        if event.outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
+            call.not_before_ms = self.now + self.settings.release_wait_ms
         self._notify_module(
-            AttemptEnded(call.number, attempt.hub, attempt.number, event.ending, False,
+            AttemptEnded(call.number, attempt.hub, attempt.number, event.outcome, False,
                          self.now - attempt.sent_ms, event.reason, 0.0, event.load_values)
         )  # fmt: skip
 
@@ -429,21 +434,23 @@
             # a connection that fell silent must not count as a slow processor in the decision module
             connection_silent = self.hubs.cancel(attempt)
             self._handle_attempt_failed(
-                AttemptFailed(attempt, Ending.CANCELLED if connection_silent else Ending.TIMED_OUT)
+                AttemptFailed(
+                    attempt, AttemptOutcome.CANCELLED if connection_silent else AttemptOutcome.TIMED_OUT
+                )
             )
 
     def _call_ended_event(
-        self, established_call: EstablishedCall, ending: Ending, load_values: tuple[float, ...] = ()
+        self, established_call: EstablishedCall, outcome: AttemptOutcome, load_values: tuple[float, ...] = ()
     ) -> Event:
         attempt = established_call.attempt
         return AttemptEnded(
             established_call.number,
             attempt.hub,
             attempt.number,
-            ending,
+            outcome,
             True,
             self.now - attempt.sent_ms,
-            report=load_values,
+            load_values=load_values,
         )
 
     def _handle_hub_release(self, event: HubReleased) -> None:
@@ -457,8 +464,8 @@
         del self.established[event.call_id]
         self.contracts.call_ended(event.call_id)
         established_call.offer.caller.release(event.cause)
-        ending = Ending.CUT if event.cause == CAUSE_CALL_CUT else Ending.ENDED
-        self._notify_module(self._call_ended_event(established_call, ending, event.load_values))
+        outcome = AttemptOutcome.CUT if event.cause == CAUSE_CALL_CUT else AttemptOutcome.ENDED
+        self._notify_module(self._call_ended_event(established_call, outcome, event.load_values))
 
     def _handle_unmatched_release(self, event: HubReleased) -> None:
         """Handles the release of a call that is not established here.
@@ -506,13 +513,13 @@
                 self._execute_set_up(call_number, hub, wait_ms)
             case Refuse(call_number, retry_after_ms):
                 self._execute_refusal(call_number, retry_after_ms, None)
-            case GiveUp(call_number, retry_after_ms):
+            case FailCall(call_number, retry_after_ms):
                 self._execute_refusal(call_number, retry_after_ms, RefusalReason.FAILED)
             case Probe(hub):
                 self.hubs.probe(hub, self.now + PROBE_TIMEOUT_MS)
-            case WakeAt(due_ms, token):
-                self._set_timer(due_ms, Woken(token))
-            case Say(text):
+            case SetTimer(due_ms, token):
+                self._set_timer(due_ms, TimerFired(token))
+            case LogMessage(text):
                 log_text(text)
             case _:
                 pass  # the platform pushes the hub list unasked, and border controllers exchange no messages
@@ -523,7 +530,7 @@
             attempt = call.attempt
             call.refuse(retry_after_ms, reason or call.refusal_reason)
             if attempt is not None:
-                call.not_before_ms = self.now + self.settings.release_ms
+                call.not_before_ms = self.now + self.settings.release_wait_ms
             log_event("refused", call=call.offer.call_id, why=(reason or call.refusal_reason).value,
                    by="module", attempts=call.attempt_count, come_back_ms=retry_after_ms)  # fmt: skip
             self._remove_pending(call)
@@ -538,7 +545,7 @@
         if objection:
             log_text(f"set-up of call {call.offer.call_id} not sent: {objection}")
             self._notify_module(
-                AttemptEnded(call_number, hub, call.attempt_count, Ending.NOT_SENT, False, 0.0)
+                AttemptEnded(call_number, hub, call.attempt_count, AttemptOutcome.NOT_SENT, False, 0.0)
             )
             return
         attempt_deadline_ms = call.deadline_ms - DEADLINE_MARGIN_MS
--- a/landingdeal/core/events.py
+++ b/landingdeal/core/events.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Protocol
 
-from badgerstile.interface import Ending, ExchangeList, Reason
+from badgerstile.interface import AttemptOutcome, ExchangeList, RejectionReason
 from landingdeal.core.contracts import Contract
 
 
@@ -142,8 +142,8 @@
     """The attempt ended without an established call."""
 
     attempt: Attempt
-    ending: Ending
-    reason: Reason = Reason.NONE
+    outcome: AttemptOutcome
+    reason: RejectionReason = RejectionReason.NONE
     load_values: tuple[float, ...] = ()
 
 
--- a/landingdeal/core/guard.py
+++ b/landingdeal/core/guard.py
@@ -15,12 +15,12 @@
 
 
 class GuardedHub:
-    """What the guard knows of one lab hub; `came_up_ms` is the start of its process, 0 for long ago."""
+    """What the guard knows of one lab hub; `started_ms` is the start of its process, 0 for long ago."""
 
-    __slots__ = ("health", "came_up_ms", "capacity_per_s", "send_times_ms")
+    __slots__ = ("health", "started_ms", "capacity_per_s", "send_times_ms")
 
     def __init__(self) -> None:
-        self.health, self.came_up_ms = Health.READY, 0.0
+        self.health, self.started_ms = Health.READY, 0.0
         self.capacity_per_s = 0.0  # the highest rate that it ever reported to accept from all senders
         self.send_times_ms: deque[float] = deque(maxlen=256)
 
@@ -39,12 +39,12 @@
             listed.add(entry.exchange)
             hub = self.hubs.setdefault(entry.exchange, GuardedHub())
             hub.health = entry.health
-            hub.came_up_ms = max(hub.came_up_ms, entry.came_up_ms)
-        if change.kind in (ListKind.WHOLE, ListKind.REMEMBERED):
+            hub.started_ms = max(hub.started_ms, entry.started_ms)
+        if change.kind in (ListKind.FULL, ListKind.CACHED):
             for name, hub in self.hubs.items():
                 if name not in listed:
-                    hub.health = Health.GONE
-        gone = [name for name, hub in self.hubs.items() if hub.health is Health.GONE]
+                    hub.health = Health.REMOVED
+        gone = [name for name, hub in self.hubs.items() if hub.health is Health.REMOVED]
         for name in gone[:-MAX_GONE_HUBS]:  # bounds the memory where each lab hub comes under a new name
             del self.hubs[name]
 
@@ -79,19 +79,22 @@
 
     def _exceeds_cold_limit(self, hub: GuardedHub, now: float) -> bool:
         """Whether one more set-up exceeds this border controller's part of what a cold processor accepts."""
-        age_ms = now - hub.came_up_ms
-        if hub.came_up_ms <= 0 or age_ms >= self.settings.cold_ms or hub.capacity_per_s <= 0:
+        age_ms = now - hub.started_ms
+        if hub.started_ms <= 0 or age_ms >= self.settings.cold_ramp_ms or hub.capacity_per_s <= 0:
             return False
         ramp = (
-            self.settings.cold_from + (1 - self.settings.cold_from) * max(age_ms, 0.0) / self.settings.cold_ms
+            self.settings.cold_initial_share
+            + (1 - self.settings.cold_initial_share) * max(age_ms, 0.0) / self.settings.cold_ramp_ms
         )
         max_set_ups = (
             hub.capacity_per_s
             * ramp
-            * self.settings.fall_multiple
-            * self.settings.fall_ms
+            * self.settings.overload_multiple
+            * self.settings.overload_window_ms
             / 1000
             * COLD_LIMIT_SHARE
         )
-        recent_set_ups = sum(1 for sent_ms in hub.send_times_ms if now - sent_ms < self.settings.fall_ms)
-        return recent_set_ups + 1 > max(max_set_ups / max(self.settings.softswitches - 1, 1), 2.0)
+        recent_set_ups = sum(
+            1 for sent_ms in hub.send_times_ms if now - sent_ms < self.settings.overload_window_ms
+        )
+        return recent_set_ups + 1 > max(max_set_ups / max(self.settings.softswitch_count - 1, 1), 2.0)
