--- a/landingdeal/__main__.py
+++ b/landingdeal/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the program: `python -m landingdeal`. What is not used is not imported."""
+"""Entry point: `python -m landingdeal`. Modules are imported only where they are used."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from landingdeal.service.signals import Signals
 
 
-def serve(where: str) -> int:
-    """The exit code; 2 where it can't run. `where` names the operator's file."""
-    signals, path = Signals(), os.environ.get("ROUTER_CONFIG", "")
+def serve(operator_path: str) -> int:
+    """Runs the border controller and returns the exit code, 2 if the configuration is unusable."""
+    signals, config_path = Signals(), os.environ.get("ROUTER_CONFIG", "")
     try:
-        if path:
+        if config_path:
             from landingdeal.service import on_platform
 
-            on_platform.serve(path, where, signals)
+            on_platform.serve(config_path, operator_path, signals)
         else:
             from landingdeal.service import with_sip
 
-            with_sip.serve(where, signals)
+            with_sip.serve(operator_path, signals)
     except (ConfigError, OSError, UnicodeDecodeError) as error:
         print(f"landingdeal: {error}", file=sys.stderr)
         return 2
@@ -28,7 +28,7 @@
 
 
 def main() -> int:
-    """Without arguments the program starts, and the command line is not even imported."""
+    """Runs the border controller without arguments, else the command line."""
     if len(sys.argv) == 1:
         return serve(os.environ.get("LANDINGDEAL_OPERATOR", ""))
     from landingdeal.commands.main import run
@@ -39,5 +39,5 @@
 if __name__ == "__main__":
     code = main()
     sys.stdout.flush()
-    # without the interpreter's own end: threads that still read and write would go on in the midst of it
+    # skips the interpreter's shutdown, which daemon threads that still read and write would run into
     os._exit(code)
--- a/landingdeal/errors.py
+++ b/landingdeal/errors.py
@@ -1,4 +1,4 @@
-"""What ends a command with one line, and the small readers that raise it."""
+"""The error for invalid settings and arguments, and a parser that raises it."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class ConfigError(Exception):
-    """The text is the one line that the program ends with."""
+    """An invalid setting or argument; the program prints the message as one line and exits."""
 
 
 def parse_address(text: Any, setting: str) -> tuple[str, int]:
-    """`host:port`, taken apart; raises ConfigError."""
+    """Splits `host:port`; raises ConfigError, which names the setting."""
     host, colon, port = str(text).rpartition(":")
     if not host or not colon or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ConfigError(f"{setting} is not an address: {text!r}")
--- a/landingdeal/log.py
+++ b/landingdeal/log.py
@@ -1,8 +1,7 @@
-"""Lines on standard error: free text, and records of one kind with named fields.
+"""Logging to standard error: free text, and events of a fixed kind with named fields.
 
-Each kind has a bucket of its own, so that a storm of one hides no other; what was left out is counted in the
-next line of that kind. Nothing raises here: a closed or full standard error must not end the thread that
-writes.
+Each kind is rate-limited on its own, so that a flood of one hides no other. The next line of a kind states
+how many were left out. Nothing here raises: a closed or full standard error must not end the calling thread.
 """
 
 from __future__ import annotations
@@ -13,30 +12,31 @@
 
 from landingdeal.clock import now_ms
 
-LINES_PER_S = 20.0  # of each kind
-TEXT = "text"  # the kind of free text
+MAX_LINES_PER_S = 20.0  # for each kind
+TEXT_KIND = "text"  # the kind that free text is limited under
 
 
-class Bucket:
-    """Lets through so many lines a second, and as many at once."""
+class TokenBucket:
+    """Rate limiter: `MAX_LINES_PER_S` lines a second, with bursts of the same size."""
 
-    __slots__ = ("room", "filled_at", "dropped")
+    __slots__ = ("tokens", "filled_ms", "dropped")
 
     def __init__(self, now: float) -> None:
-        self.room, self.filled_at, self.dropped = LINES_PER_S, now, 0
+        self.tokens, self.filled_ms, self.dropped = MAX_LINES_PER_S, now, 0
 
     def take(self, now: float) -> bool:
-        self.room = min(self.room + (now - self.filled_at) / 1000 * LINES_PER_S, LINES_PER_S)
-        self.filled_at = now
-        if self.room < 1:
+        """Takes a token for one line; without one the line is counted as dropped."""
+        self.tokens = min(self.tokens + (now - self.filled_ms) / 1000 * MAX_LINES_PER_S, MAX_LINES_PER_S)
+        self.filled_ms = now
+        if self.tokens < 1:
             self.dropped += 1
             return False
-        self.room -= 1
+        self.tokens -= 1
         return True
 
 
 _lock = threading.Lock()
-_buckets: dict[str, Bucket] = {}
+_buckets: dict[str, TokenBucket] = {}
 
 
 def _write(kind: str, text: str) -> None:
@@ -44,26 +44,26 @@
         now = now_ms()
         bucket = _buckets.get(kind)
         if bucket is None:
-            bucket = _buckets[kind] = Bucket(now)
+            bucket = _buckets[kind] = TokenBucket(now)
         if not bucket.take(now):
             return
-        missed, bucket.dropped = bucket.dropped, 0
-    more = f" ({missed} lines left out before this)" if missed else ""
+        dropped_lines, bucket.dropped = bucket.dropped, 0
+    suffix = f" ({dropped_lines} lines left out before this)" if dropped_lines else ""
     with contextlib.suppress(OSError, ValueError):
-        print(f"{now / 1000:.3f} {text}{more}", file=sys.stderr, flush=True)
+        print(f"{now / 1000:.3f} {text}{suffix}", file=sys.stderr, flush=True)
 
 
 def log_text(text: str) -> None:
-    """A line of free text."""
-    _write(TEXT, text)
+    """Logs a line of free text."""
+    _write(TEXT_KIND, text)
 
 
 def log_event(kind: str, **fields: object) -> None:
-    """A line `kind name=value ...`. Kinds are few and fixed: each keeps a bucket."""
-    _write(kind, " ".join([kind, *(f"{name}={_shown(value)}" for name, value in fields.items())]))
+    """Logs a line `kind name=value ...`. Kinds must be few and fixed: each keeps its own rate limiter."""
+    _write(kind, " ".join([kind, *(f"{name}={_format_value(value)}" for name, value in fields.items())]))
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, bytes):
         return value.decode("ascii", "replace")
     if isinstance(value, float):
--- a/landingdeal/operator.py
+++ b/landingdeal/operator.py
@@ -1,6 +1,6 @@
-"""The operator's file (TOML): teams' contracts, and the SIP front with its lab hubs and settings.
+"""Parses the operator's file (TOML): teams' contracts, and the SIP front with its lab hubs and settings.
 
-Each section is read next to the code that it sets; what is not used is not imported.
+Each section is parsed by the package that it configures, which is imported only if it is used.
 """
 
 from __future__ import annotations
@@ -22,6 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
+    """The contents of the operator's file; `sip` and `settings` are set if the SIP front is enabled."""
+
     contracts: tuple[Contract, ...] = ()
     sip: SipConfig | None = None
     settings: Settings | None = None
@@ -29,14 +31,14 @@
 
 
 def parse_operator_config(text: str, on_platform: bool = False) -> OperatorConfig:
-    """Raises ConfigError with one line that says what is wrong. On the platform only the contracts count."""
+    """Raises ConfigError with a one-line message. On the platform only the contracts are used."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise ConfigError(f"the operator's file is not TOML: {error}") from None
     unknown = sorted(set(raw) - {"contract", "sip", "settings"})
     if unknown:
-        raise ConfigError(f"the operator's file names what is not known: {', '.join(unknown)}")
+        raise ConfigError(f"the operator's file has unknown sections: {', '.join(unknown)}")
     try:
         contracts = read_contracts(raw.get("contract", []))
         sip = raw.get("sip", {})
@@ -46,7 +48,7 @@
     except KeyError as error:
         raise ConfigError(f"the operator's file lacks {error}") from None
     except (TypeError, ValueError, AttributeError) as error:
-        raise ConfigError(f"the operator's file holds a value that can't be used: {error}") from None
+        raise ConfigError(f"the operator's file has an invalid value: {error}") from None
 
 
 def _with_sip(contracts: tuple[Contract, ...], sip: dict[str, Any], raw_settings: Any) -> OperatorConfig:
--- a/landingdeal/threads.py
+++ b/landingdeal/threads.py
@@ -1,4 +1,4 @@
-"""Threads of the house: small stacks, daemons, named."""
+"""Starts the program's threads: named daemon threads with small stacks."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from landingdeal.log import log_event
 
 STACK_BYTES = 256 * 1024
-RETRY_DELAY_MS = 100.0  # before work that failed is begun again
-START_TIMEOUT_MS = 20_000.0  # for threads that a process cannot do without: it has 30 s to be ready
+RETRY_DELAY_MS = 100.0  # before a thread is started, or failed work is run, again
+START_TIMEOUT_MS = 20_000.0  # for essential threads; the process has 30 s to get ready
 
 
 def start_thread(name: str, work: Callable[[], None], retry_for_ms: float = 0.0) -> threading.Thread:
-    """Where the system has no thread left it tries again for so long, and then raises RuntimeError."""
+    """Starts a thread. If the system has none left, retries for `retry_for_ms`, then raises RuntimeError."""
     deadline_ms = now_ms() + retry_for_ms
     while True:
         threading.stack_size(STACK_BYTES)
@@ -33,7 +33,7 @@
 
 
 def start_supervised_thread(name: str, work: Callable[[], None]) -> None:
-    """For work that nothing else would take over: it is begun again after an exception, until it returns."""
+    """Starts a thread that runs the work again after each exception, until the work returns."""
 
     def run_until_return() -> None:
         while not _runs_to_end(name, work):
@@ -43,6 +43,7 @@
 
 
 def _runs_to_end(name: str, work: Callable[[], None]) -> bool:
+    """Runs the work; false if it raised, which is logged."""
     try:
         work()
     except Exception as error:
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -112,6 +112,6 @@
     bad = tmp_path / "bad.toml"
     bad.write_text("[sop]\n")
     code, out, _ = landingdeal("config", "check", "deploy/operator.toml", str(bad))
-    assert code == 1 and "deploy/operator.toml: can be used" in out and "names what is not known: sop" in out
+    assert code == 1 and "deploy/operator.toml: can be used" in out and "has unknown sections: sop" in out
     code, out, _ = landingdeal("config", "check", "--json", "deploy/operator.toml")
     assert code == 0 and json.loads(out)["files"][0]["problem"] == ""
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -574,7 +574,7 @@
         (None, "[sip]\nenabled = true", "the operator's file lacks 'settings'"),
         (None, SIP.replace("127.0.0.1:5071", "hub.example:5071"), "sip.hub addis-1 is not an IPv4 address"),
         (None, SIP.replace("hub = 2", "hub = 9"), "leads to 9, which no lab hub has"),
-        (None, "[sop]", "names what is not known: sop"),
+        (None, "[sop]", "has unknown sections: sop"),
         (None, '[[contract]]\nteam = "a"\nclasses = []\nper_s = 0\nat_once = 1', "must be above 0"),
     ],
 )
