--- a/landingdeal/core/exchange.py
+++ b/landingdeal/core/exchange.py
@@ -1,56 +1,59 @@
-"""The one object in which server side and client side meet."""
+"""The state of one call: pending until its final answer, then established until its release."""
 
 from __future__ import annotations
 
-from landingdeal.core.events import Attempt, HubReleased, Offer, Why
+from landingdeal.core.events import Attempt, HubReleased, Offer, RefusalReason
 
 
-class Exchange:
-    """A call: its absolute deadline, its one attempt, its one final answer."""
+class PendingCall:
+    """A call without a final answer yet: it has at most one pending attempt and gets exactly one answer."""
 
-    __slots__ = ("offer", "number", "deadline_ms", "attempt", "attempts", "not_before", "final", "why",
-                 "released", "answered_ms")  # fmt: skip
+    __slots__ = ("offer", "number", "deadline_ms", "attempt", "attempt_count", "not_before_ms", "concluded",
+                 "refusal_reason", "early_release", "refused_ms_by_hub")  # fmt: skip
 
     def __init__(self, offer: Offer, number: int) -> None:
         self.offer = offer
-        self.number = number  # what the decision module calls it
+        self.number = number  # identifies the call in the decision module
         self.deadline_ms = offer.deadline_ms
         self.attempt: Attempt | None = None
-        self.attempts = 0
-        self.not_before = float("-inf")
-        self.final = False
-        self.why = Why.TURNED_AWAY  # what its last attempt came to
-        self.answered_ms: dict[bytes, float] = {}  # when each lab hub last refused it
-        self.released: HubReleased | None = None  # it overtook the answer of the attempt that is out
+        self.attempt_count = 0
+        self.not_before_ms = float("-inf")  # until then the last attempt is being released
+        self.concluded = False  # it has its final answer, or its caller cancelled
+        self.refusal_reason = RefusalReason.UNAVAILABLE  # from the outcome of its last attempt
+        self.refused_ms_by_hub: dict[bytes, float] = {}  # time of the last refusal by each lab hub
+        self.early_release: HubReleased | None = None  # received before the answer of the pending attempt
 
     def answer(self, description: bytes) -> bool:
-        """The call stands. False if it has had its final answer already."""
-        if self.final:
+        """Accepts the call. False if it already has its final answer."""
+        if self.concluded:
             return False
-        self.final = True
+        self.concluded = True
         self.offer.caller.answer(description)
         return True
 
-    def refuse(self, come_back_ms: float, why: Why = Why.TURNED_AWAY) -> bool:
-        if self.final:
+    def refuse(
+        self, retry_after_ms: float, refusal_reason: RefusalReason = RefusalReason.UNAVAILABLE
+    ) -> bool:
+        """Refuses the call. False if it already has its final answer."""
+        if self.concluded:
             return False
-        self.final = True
-        self.offer.caller.refuse(come_back_ms, why)
+        self.concluded = True
+        self.offer.caller.refuse(retry_after_ms, refusal_reason)
         return True
 
-    def withdraw(self) -> bool:
-        """The caller stopped waiting: no answer is owed and none may follow."""
-        if self.final:
+    def cancel(self) -> bool:
+        """The caller cancelled: no answer may follow. False if the call already has its final answer."""
+        if self.concluded:
             return False
-        self.final = True
+        self.concluded = True
         return True
 
 
-class Standing:
-    """A call that stands: it belongs to no connection."""
+class EstablishedCall:
+    """An established call. It is bound to no connection."""
 
     __slots__ = ("offer", "number", "attempt", "description", "since_ms")
 
-    def __init__(self, exchange: Exchange, attempt: Attempt, description: bytes, now: float) -> None:
-        self.offer, self.number, self.attempt = exchange.offer, exchange.number, attempt
+    def __init__(self, call: PendingCall, attempt: Attempt, description: bytes, now: float) -> None:
+        self.offer, self.number, self.attempt = call.offer, call.number, attempt
         self.description, self.since_ms = description, now
--- a/landingdeal/net/hubs.py
+++ b/landingdeal/net/hubs.py
@@ -9,12 +9,20 @@
 from badgerstile.interface import AttemptOutcome, Settings
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.broker import Inbox
-from landingdeal.core.events import Attempt, Ended, GroupState, HubDied, HubReleased, Probed, Stood
-from landingdeal.log import record, say
+from landingdeal.core.events import (
+    Attempt,
+    AttemptEstablished,
+    AttemptFailed,
+    HubFailed,
+    HubReleased,
+    LoadReported,
+    ProbeCompleted,
+)
+from landingdeal.log import log_event, log_text
 from landingdeal.net.link import HubLink, Link, dial
 from landingdeal.sip.headers import load_values, reason_header, rejection_reason, release_cause
 from landingdeal.sip.message import FramingError, MalformedMessage, Message, request, response
-from landingdeal.threads import start_lasting_thread
+from landingdeal.threads import start_supervised_thread
 
 SUSPECT_SILENCE_MS = 2500.0  # after so long without a message from a lab hub, it is dialled again
 # of the shortest class target: it is also dialled again if a set-up gets no message back for so long
@@ -74,7 +82,7 @@
 
 
 class HubConnections:
-    """The connections to all lab hubs. Implements `HubSide` for the core."""
+    """The connections to all lab hubs. Implements `HubClient` for the core."""
 
     def __init__(self, settings: Settings, inbox: Inbox, local_address: str, dial_timeout_ms: float) -> None:
         self.settings, self.inbox, self.dial_timeout_ms = settings, inbox, dial_timeout_ms
@@ -117,11 +125,11 @@
             undeliverable = self._take_queued(hub) if hub.draining else []
             hub.changed.notify()
         for attempt in undeliverable:
-            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
+            self.inbox.put(AttemptFailed(attempt, AttemptOutcome.UNREACHABLE))
         if failed_before_ms:  # the earlier reset was the end of its process
-            self.inbox.tell(HubDied(name, failed_before_ms))
+            self.inbox.put(HubFailed(name, failed_before_ms))
         if start_keeper:
-            start_lasting_thread("keeper", lambda: self._keep_connected(hub))
+            start_supervised_thread("keeper", lambda: self._keep_connected(hub))
 
     @staticmethod
     def _take_queued(hub: Hub) -> list[Attempt]:
@@ -138,7 +146,7 @@
             replaced_hub.changed.notify()
         for link in links:
             link.close_with_reason("another lab hub has its address")
-        self.inbox.tell(HubDied(replaced_hub.name, now_ms()))
+        self.inbox.put(HubFailed(replaced_hub.name, now_ms()))
 
     def start(self) -> None:
         """Starts the thread that checks for silent lab hubs."""
@@ -148,7 +156,7 @@
                 time.sleep(seconds_until(now_ms() + CHECK_INTERVAL_MS))
                 self.check_hubs(now_ms())
 
-        start_lasting_thread("watch", check_repeatedly)
+        start_supervised_thread("watch", check_repeatedly)
 
     def check_hubs(self, now: float) -> None:
         """Replaces silent connections and declares silent lab hubs failed.
@@ -190,15 +198,17 @@
                 if hub.removed and hub.declared_failed:
                     surplus, removable = list(hub.pending), not hub.keeper_running and not hub.pending
             for pending_probe in expired_probes:
-                self.inbox.tell(Probed(hub.name, False, pending_probe.deadline_ms - pending_probe.sent_ms))
+                self.inbox.put(
+                    ProbeCompleted(hub.name, False, pending_probe.deadline_ms - pending_probe.sent_ms)
+                )
             for link in unverified:
                 # a process that was restarted since then answers with a reset
                 link.send(self._options_request(f"{0:016x}"))
             for link in surplus:
                 link.close_with_reason("replaced, or its lab hub is removed and silent")
             if failed:
-                say(f"no message from {hub.name!r} for {silent_ms / 1000:.1f} s: its calls are released")
-                self.inbox.tell(HubDied(hub.name, now))
+                log_text(f"no message from {hub.name!r} for {silent_ms / 1000:.1f} s: its calls are released")
+                self.inbox.put(HubFailed(hub.name, now))
             if removable:  # bounds memory and threads where lab hubs are often replaced by new ones
                 with self.lock:
                     self.hubs.pop(hub.name, None)
@@ -247,7 +257,7 @@
                 sock = dial(hub.host, hub.port, until)
             except OSError as error:
                 refused = not isinstance(error, TimeoutError)
-                say(f"no connection to {hub.name!r}: {error}")
+                log_text(f"no connection to {hub.name!r}: {error}")
                 with hub.changed:
                     now = now_ms()
                     hub.refused_connects = hub.refused_connects + 1 if refused else 0
@@ -264,11 +274,11 @@
                     ]
                     hub.queued = [a for a in hub.queued if a not in undeliverable]
                 for attempt in undeliverable:
-                    self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
+                    self.inbox.put(AttemptFailed(attempt, AttemptOutcome.UNREACHABLE))
                 if failed_before_ms:
                     # a reset alone is no proof of a failure: peers also reset idle connections and keep their
                     # calls. A refused connect after it, or two refused in a row, show that the process ended
-                    self.inbox.tell(HubDied(hub.name, failed_before_ms))
+                    self.inbox.put(HubFailed(hub.name, failed_before_ms))
                 with hub.changed:
                     if not hub.removed and not hub.queued:
                         hub.changed.wait(seconds_until(now_ms() + REDIAL_INTERVAL_MS))
@@ -280,9 +290,9 @@
             )
             self._on_connected(hub, link)
         if failed_before_ms:
-            self.inbox.tell(HubDied(hub.name, failed_before_ms))
+            self.inbox.put(HubFailed(hub.name, failed_before_ms))
         for attempt in queued:
-            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
+            self.inbox.put(AttemptFailed(attempt, AttemptOutcome.UNREACHABLE))
 
     def _on_connected(self, hub: Hub, link: HubLink) -> None:
         """Sends what is queued, under one lock: a cancellation finds each attempt either queued or sent."""
@@ -307,10 +317,10 @@
             self._on_connection_ended(hub, link, reset=False)
             raise
         if failed_before_ms:  # so long after the reset it is a new process
-            self.inbox.tell(HubDied(hub.name, failed_before_ms))
-        say(f"connected to {hub.name!r}")
+            self.inbox.put(HubFailed(hub.name, failed_before_ms))
+        log_text(f"connected to {hub.name!r}")
         for attempt in undeliverable:
-            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
+            self.inbox.put(AttemptFailed(attempt, AttemptOutcome.UNREACHABLE))
 
     def _on_connection_ended(self, hub: Hub, link: HubLink, reset: bool) -> None:
         with hub.changed:
@@ -328,21 +338,21 @@
         end_description = (
             "reset" if reset else f"closed: {link.close_reason}" if link.close_reason else "closed"
         )
-        say(f"connection to {hub.name!r} ended ({end_description}, {len(interrupted)} set-ups pending)")
+        log_text(f"connection to {hub.name!r} ended ({end_description}, {len(interrupted)} set-ups pending)")
         for attempt in interrupted:
             # CANCELLED, not UNREACHABLE: the end of a connection is no proof that the lab hub has failed (one
             # that has refuses the next connect), and UNREACHABLE would limit a healthy lab hub to one call at
             # a time and then ramp it up as if newly started
-            self.inbox.tell(Ended(attempt, AttemptOutcome.CANCELLED))
+            self.inbox.put(AttemptFailed(attempt, AttemptOutcome.CANCELLED))
         if reset and was_replaced:  # it was silent, then reset: the process there now does not know it
-            self.inbox.tell(HubDied(hub.name, failed_before_ms))
+            self.inbox.put(HubFailed(hub.name, failed_before_ms))
 
     def _replace_connection(self, hub: Hub) -> None:
         """Dials a new connection in place of a silent one; set-ups are queued until it is up.
 
         The connections of a machine that vanished or was cut off stay open and silent.
         """
-        say(f"connection to {hub.name!r} is silent; dialling a new one")
+        log_text(f"connection to {hub.name!r} is silent; dialling a new one")
         hub.link = None
         hub.changed.notify()
 
@@ -355,7 +365,7 @@
     def set_up(self, attempt: Attempt) -> None:
         hub = self._find_hub(attempt.hub)
         if hub is None:
-            self.inbox.soon(Ended(attempt, AttemptOutcome.UNREACHABLE))
+            self.inbox.put_from_core(AttemptFailed(attempt, AttemptOutcome.UNREACHABLE))
             return
         with hub.changed:
             link = hub.link
@@ -365,7 +375,7 @@
                 hub.changed.notify()
                 return
         if link is None or not connected or not self._send_set_up(hub, link, attempt):
-            self.inbox.soon(Ended(attempt, AttemptOutcome.UNREACHABLE))
+            self.inbox.put_from_core(AttemptFailed(attempt, AttemptOutcome.UNREACHABLE))
 
     def _send_set_up(self, hub: Hub, link: HubLink, attempt: Attempt) -> bool:
         """Sends the INVITE; False if it was not sent and its end has still to be reported."""
@@ -374,7 +384,7 @@
         if remaining_ms <= 0:
             return True  # the core's own timer ends it
         message = request(
-            "INVITE", offer.uri, self.via, ("call-id", offer.call), ("cseq", "1 INVITE"),
+            "INVITE", offer.uri, self.via, ("call-id", offer.call_id), ("cseq", "1 INVITE"),
             ("subject", offer.class_name), ("x-patience", str(remaining_ms)), ("x-facts", offer.facts),
             body=offer.description,
         )  # fmt: skip
@@ -382,7 +392,7 @@
             pending_calls = hub.pending.get(link)
             if pending_calls is None or not link.send(message):
                 return False
-            pending_calls[offer.call] = attempt
+            pending_calls[offer.call_id] = attempt
             if link.first_unanswered_ms <= link.last_received_ms:
                 link.first_unanswered_ms = now_ms()
         return True
@@ -396,11 +406,11 @@
                 hub.queued.remove(attempt)
                 return False
             link = next(
-                (on for on, calls in hub.pending.items() if calls.get(attempt.offer.call) is attempt), None
+                (on for on, calls in hub.pending.items() if calls.get(attempt.offer.call_id) is attempt), None
             )
             if link is not None:
-                del hub.pending[link][attempt.offer.call]
-                link.cancelled_calls[attempt.offer.call] = None
+                del hub.pending[link][attempt.offer.call_id]
+                link.cancelled_calls[attempt.offer.call_id] = None
                 if len(link.cancelled_calls) > MAX_CANCELLED_CALLS:
                     link.cancelled_calls.pop(next(iter(link.cancelled_calls)))
             unresponsive = (
@@ -412,7 +422,7 @@
             if hub.link is not None and waited and hub.link.last_received_ms < attempt.sent_ms:
                 self._replace_connection(hub)
             if link is not None:
-                call, uri = attempt.offer.call, attempt.offer.uri
+                call, uri = attempt.offer.call_id, attempt.offer.uri
                 link.send(request("CANCEL", uri, self.via, ("call-id", call), ("cseq", "1 CANCEL")))
         return unresponsive
 
@@ -466,9 +476,9 @@
             case "BYE":
                 link.send(response(message, 200))
                 hub_load = load_values(message, self.settings)
-                self.inbox.tell(HubReleased(message.call_id, hub.name, release_cause(message), hub_load))
+                self.inbox.put(HubReleased(message.call_id, hub.name, release_cause(message), hub_load))
             case "NOTIFY":
-                self.inbox.tell(GroupState(hub.name, load_values(message, self.settings)))
+                self.inbox.put(LoadReported(hub.name, load_values(message, self.settings)))
             case "OPTIONS":
                 link.send(response(message, 200))
             case _:
@@ -480,7 +490,7 @@
         with hub.changed:
             pending_calls = hub.pending.get(link, {})
             if call not in pending_calls and call not in link.cancelled_calls:
-                record("answer_ignored", call=call, hub=hub.name, status=message.status)
+                log_event("answer_ignored", call=call, hub=hub.name, status=message.status)
                 return  # a repeated answer or an unknown id: no call is affected
             if message.status < 300 and not is_whole_description(message.body):
                 # its set-up stays pending and ends with the connection
@@ -494,11 +504,11 @@
                 self._release_unwanted(hub, link, call)
             return
         if message.status < 300:
-            self.inbox.tell(Stood(attempt, message.body))
+            self.inbox.put(AttemptEstablished(attempt, message.body))
             return
         ending = OUTCOME_BY_STATUS.get(message.status, AttemptOutcome.ERROR)
         reason = rejection_reason(message)
-        self.inbox.tell(Ended(attempt, ending, reason, load_values(message, self.settings)))
+        self.inbox.put(AttemptFailed(attempt, ending, reason, load_values(message, self.settings)))
 
     def _release_unwanted(self, hub: Hub, link: Link, call: str) -> None:
         """Releases a call whose answer crossed our CANCEL, unless it was sent to this lab hub again."""
@@ -513,8 +523,8 @@
         if pending_probe is not None:
             now = now_ms()
             succeeded = message.status < 300 and now <= pending_probe.deadline_ms
-            self.inbox.tell(
-                Probed(
+            self.inbox.put(
+                ProbeCompleted(
                     hub.name,
                     succeeded,
                     max(now - pending_probe.sent_ms, 0.1),
--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -18,10 +18,10 @@
 
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core import steps
-from landingdeal.core.lifecycle import Held
-from landingdeal.log import say
+from landingdeal.core.lifecycle import ConnectionState
+from landingdeal.log import log_text
 from landingdeal.sip.message import Framer, FramingError, MalformedMessage, Message, OversizedMessage, encode
-from landingdeal.threads import start_lasting_thread, start_thread
+from landingdeal.threads import start_supervised_thread, start_thread
 
 NO_DEADLINE = float("inf")
 TCP_CLOSED = 7  # TCP state after a reset; after an orderly close by the peer it is CLOSE_WAIT, 8
@@ -146,8 +146,8 @@
         except OSError:
             return False  # nothing to read, or the connection has failed
 
-    def pending_work(self, unanswered: int) -> Held:
-        return Held(unanswered, self.unsent(), self.unread())
+    def pending_work(self, unanswered: int) -> ConnectionState:
+        return ConnectionState(unanswered, self.unsent(), self.unread())
 
     def close_with_reason(self, close_reason: str) -> None:
         """Closes the connection; the first reason given is logged."""
@@ -168,7 +168,7 @@
             if outgoing is None:
                 break
             try:
-                steps.at(steps.WRITING)
+                steps.reached(steps.WRITING)
                 if outgoing.still_wanted is None or outgoing.still_wanted():
                     self.sock.sendall(outgoing.data)
                 self.send_queue.task_done()
@@ -231,7 +231,7 @@
             data = self.sock.recv(READ_SIZE)
             if not data:
                 return self.alive and self._reset_by_peer()
-            steps.at(steps.READ)
+            steps.reached(steps.READ)
             self.last_received_ms = now_ms()
             was_partial, completed = bool(framer.buffer), False
             for message in framer.feed(data):
@@ -363,7 +363,7 @@
         self.listener.listen(512)
         self.listener.setblocking(False)
         self.wake_event = os.eventfd(0, os.EFD_NONBLOCK)
-        start_lasting_thread("accept", self._run)
+        start_supervised_thread("accept", self._run)
 
     def wake(self) -> None:
         """Makes the thread check `accepts` again. May be called from any thread."""
@@ -394,11 +394,11 @@
                     time.sleep(seconds_until(now_ms() + ACCEPT_RETRY_MS))
                     return
                 continue  # the peer closed before the accept
-            steps.at(steps.ACCEPTED)
+            steps.reached(steps.ACCEPTED)
             try:
                 sock.setblocking(True)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 self.on_accepted(sock)
             except Exception as error:  # one failure must not end the accepting of later connections
-                say(f"cannot serve an accepted connection: {type(error).__name__} {error}")
+                log_text(f"cannot serve an accepted connection: {type(error).__name__} {error}")
                 sock.close()
--- a/landingdeal/net/transaction.py
+++ b/landingdeal/net/transaction.py
@@ -8,12 +8,15 @@
 from typing import Protocol
 
 from landingdeal.core import steps
-from landingdeal.core.events import Why
-from landingdeal.log import record
+from landingdeal.core.events import RefusalReason
+from landingdeal.log import log_event
 from landingdeal.net.link import CallerLink
 from landingdeal.sip.message import Message, response
 
-STATUS_BY_REASON = {Why.FAILED: 500, Why.FORBIDDEN: 403}  # all others: 503, so that the caller may retry
+STATUS_BY_REASON = {
+    RefusalReason.FAILED: 500,
+    RefusalReason.FORBIDDEN: 403,
+}  # all others: 503, so that the caller may retry
 
 
 class TransactionState(Enum):
@@ -34,7 +37,7 @@
 
 
 class CallerTransaction:
-    """Implements `CallerSide` for one call.
+    """Implements `CallerResponder` for one call.
 
     The core, the connection's reader and writer and the main thread may all try to end it; only the first
     transition succeeds, so that each set-up gets exactly one final answer.
@@ -67,7 +70,7 @@
     def answer(self, description: bytes) -> None:
         self._send_final_answer(lambda: response(self.invite, 200, body=description), establishes_call=True)
 
-    def refuse(self, retry_after_ms: float, reason: Why) -> None:
+    def refuse(self, retry_after_ms: float, reason: RefusalReason) -> None:
         headers = (("x-later-ms", str(int(retry_after_ms))),) if retry_after_ms > 0 else ()
         self._send_final_answer(lambda: response(self.invite, STATUS_BY_REASON.get(reason, 503), *headers))
 
@@ -84,20 +87,20 @@
         look idle in between and could be closed.
         """
         if not self._transition(TransactionState.DECIDED, TransactionState.OPEN):
-            record("answer_dropped", call=self.invite.call_id, state=self._state.value)
+            log_event("answer_dropped", call=self.invite.call_id, state=self._state.value)
             return
-        steps.at(steps.ANSWERED)
+        steps.reached(steps.ANSWERED)
         if establishes_call:
             self.link.trust_level = 2
         self.link.send(build_response(), still_wanted=self._begin_write)
-        steps.at(steps.QUEUED)
+        steps.reached(steps.QUEUED)
         self.registry.transaction_answered(self)
 
     def _begin_write(self) -> bool:
         """Called by the writer right before it sends the answer; False if the caller has cancelled."""
         if self._transition(TransactionState.WRITTEN, TransactionState.DECIDED):
             return True
-        record("answer_dropped", call=self.invite.call_id, state=self._state.value)
+        log_event("answer_dropped", call=self.invite.call_id, state=self._state.value)
         return False
 
     def release(self, cause: int) -> None:
--- a/landingdeal/service/life.py
+++ b/landingdeal/service/life.py
@@ -9,12 +9,12 @@
 
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.broker import Broker
-from landingdeal.core.events import Stop
+from landingdeal.core.events import StopRequested
 from landingdeal.core.lifecycle import Phase
 from landingdeal.errors import ConfigError
-from landingdeal.log import record, say
+from landingdeal.log import log_event, log_text
 from landingdeal.service.signals import Signals
-from landingdeal.threads import READY_MS, start_thread
+from landingdeal.threads import START_TIMEOUT_MS, start_thread
 
 FLUSH_POLL_MS = 10.0  # between checks for unwritten messages after the core has ended
 
@@ -23,11 +23,11 @@
     """Loads the configuration again; after an error the old one stays in effect."""
     try:
         load_configuration()
-        say("configuration reloaded")
+        log_text("configuration reloaded")
     except (ConfigError, OSError, UnicodeDecodeError) as error:
-        say(f"the old configuration is kept: {error}")
+        log_text(f"the old configuration is kept: {error}")
     except Exception:
-        say("the old configuration is kept: the new one could not be applied")
+        log_text("the old configuration is kept: the new one could not be applied")
         traceback.print_exc(file=sys.stderr)
 
 
@@ -38,17 +38,19 @@
 
     `flush` is called after the end of the core; it returns how many connections are still to be flushed.
     """
-    life = broker.life
-    life.watchers.append(lambda: record("phase", now=life.phase.name))
-    signals.handle_with(lambda at_ms: broker.inbox.tell(Stop(at_ms)), lambda: reload(load_configuration))
-    core_thread = start_thread("core", broker.run, READY_MS)
+    life = broker.lifecycle
+    life.phase_listeners.append(lambda: log_event("phase", now=life.phase.name))
+    signals.handle_with(
+        lambda at_ms: broker.inbox.put(StopRequested(at_ms)), lambda: reload(load_configuration)
+    )
+    core_thread = start_thread("core", broker.run, START_TIMEOUT_MS)
     while core_thread.is_alive():
         core_thread.join(1.0)
-    life.core_gone(now_ms())
+    life.core_stopped(now_ms())
     while True:
         unflushed = flush()
-        life.flush_looks(unflushed, now_ms())
+        life.check_flush(unflushed, now_ms())
         if life.phase is Phase.ENDED:
             break
         time.sleep(seconds_until(now_ms() + FLUSH_POLL_MS))
-    say(f"stopped{f', {unflushed} connections not flushed' if unflushed else ''}")
+    log_text(f"stopped{f', {unflushed} connections not flushed' if unflushed else ''}")
--- a/landingdeal/service/signals.py
+++ b/landingdeal/service/signals.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from landingdeal.clock import now_ms
-from landingdeal.log import record
-from landingdeal.threads import start_lasting_thread
+from landingdeal.log import log_event
+from landingdeal.threads import start_supervised_thread
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
@@ -44,10 +44,10 @@
         def handle_signals() -> None:
             while True:
                 received = self._received.get()
-                record("signal", number=received.number)
+                log_event("signal", number=received.number)
                 if received.number in STOP_SIGNALS:
                     stop(received.at_ms)
                 else:
                     reload()
 
-        start_lasting_thread("signals", handle_signals)
+        start_supervised_thread("signals", handle_signals)
--- a/landingdeal/sip/capture.py
+++ b/landingdeal/sip/capture.py
@@ -12,7 +12,7 @@
 from landingdeal.capture.reader import Reading, read
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.sip.message import Message
 from landingdeal.sip.transport import ReceivedMessage, Tap
 
@@ -79,7 +79,7 @@
         skipped = (
             ", ".join(f"{count} {reason}" for reason, count in sorted(skipped_counts.items())) or "nothing"
         )
-        say(f"capture: {played} messages played; skipped: {skipped}")
+        log_text(f"capture: {played} messages played; skipped: {skipped}")
 
     def _all_messages(self) -> Iterator[Seen]:
         if self.first_message is not None:
--- a/landingdeal/sip/config.py
+++ b/landingdeal/sip/config.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 from badgerstile.interface import Settings
-from landingdeal.errors import ConfigError, address
+from landingdeal.errors import ConfigError, parse_address
 from landingdeal.sip.call import HubConfig, SipConfig
 from landingdeal.sip.transaction import Timing
 
 
 def parse_ip_address(text: Any, setting: str) -> tuple[str, int]:
     """Parses `host:port`; a host name is refused, because the SIP front must not wait for a DNS lookup."""
-    host, port = address(text, setting)
+    host, port = parse_address(text, setting)
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -11,21 +11,21 @@
 import math
 
 from badgerstile.interface import AttemptOutcome, LoadField, RejectionReason, Settings
-from landingdeal.core.broker import CAUSE_CUT, Inbox
+from landingdeal.core.broker import CAUSE_CALL_CUT, Inbox
 from landingdeal.core.events import (
     Attempt,
+    AttemptEstablished,
+    AttemptFailed,
     CallerReleased,
-    Ended,
-    GroupState,
     HubReleased,
+    LoadReported,
     Offer,
-    Probed,
-    Stood,
-    Why,
-    Withdrawn,
+    ProbeCompleted,
+    RefusalReason,
+    SetUpCancelled,
 )
 from landingdeal.core.lifecycle import Lifecycle
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.sip.address import AddressError, parse_name_addr, parse_uri
 from landingdeal.sip.call import DialogSide, HubConfig, HubLeg, SipCall, SipCaller, SipConfig
 from landingdeal.sip.capture import CapturePlayback, PlaybackFlow
@@ -43,7 +43,12 @@
 from landingdeal.threads import start_thread
 
 MAX_CALLS = 4000
-STATUS_BY_REFUSAL_REASON = {Why.BUSY: 486, Why.TIMED_OUT: 408, Why.FAILED: 500, Why.FORBIDDEN: 403}
+STATUS_BY_REFUSAL_REASON = {
+    RefusalReason.BUSY: 486,
+    RefusalReason.TIMED_OUT: 408,
+    RefusalReason.FAILED: 500,
+    RefusalReason.FORBIDDEN: 403,
+}
 OUTCOMES_BY_STATUS = {
     408: AttemptOutcome.TIMED_OUT, 480: AttemptOutcome.TURNED_BACK, 487: AttemptOutcome.CANCELLED,
     503: AttemptOutcome.TURNED_BACK, 504: AttemptOutcome.CUT,
@@ -173,14 +178,14 @@
         transaction.respond(response(message, 100))
         call.caller = SipCaller(self, call)
         offer = Offer(
-            call=call.key,
+            call_id=call.key,
             uri=message.uri,
             class_name=self._class_name(message),
             destination=hub_number,
             deadline_ms=self.now() + patience_ms,
             description=message.body,
             caller=call.caller,
-            key=int.from_bytes(hashlib.blake2b(user.encode(), digest_size=8).digest(), "big"),
+            called_number=int.from_bytes(hashlib.blake2b(user.encode(), digest_size=8).digest(), "big"),
             team=message.get("organization"),
         )
         if len(self.calls) >= MAX_CALLS or not self.inbox.offer(offer):
@@ -236,7 +241,7 @@
         call.invite_transaction.respond(
             self._make_response(call.invite_transaction.request, 487, local_tag=call.local_tag)
         )
-        self.inbox.tell(Withdrawn(call.key, call.caller))
+        self.inbox.put(SetUpCancelled(call.key, call.caller))
 
     def new_ack(self, message: Message, branch_key: str, flow: Flow) -> None:
         invite = self.server_transactions.get(f"{branch_key}|INVITE")
@@ -259,7 +264,7 @@
     def answer_call(self, call: SipCall, description: bytes) -> None:
         invite, hub_side = call.invite_transaction.request, call.hub_side
         if call.invite_transaction.final_response_sent or call.key not in self.calls:
-            self.inbox.tell(CallerReleased(call.key))  # the answer crossed a CANCEL: release the hub
+            self.inbox.put(CallerReleased(call.key))  # the answer crossed a CANCEL: release the hub
             return
         content_type = ("content-type", call.answer_content_type)
         flow = call.invite_transaction.flow
@@ -275,7 +280,7 @@
         self.dialog_sides[side.dialog.key] = side
         self._send_2xx(side, call.invite_transaction, final_response)
         if hub_side is None or hub_side.dialog.terminated:  # the hub has already released the call
-            self._send_bye(side, CAUSE_CUT)
+            self._send_bye(side, CAUSE_CALL_CUT)
 
     def _send_2xx(self, side: DialogSide, transaction: ServerTransaction, final_response: Message) -> None:
         """Sends a 2xx to an INVITE and, on any transport, retransmits it until its ACK arrives (13.3.1.4)."""
@@ -294,13 +299,13 @@
         def on_ack_timeout() -> None:
             if side.unacknowledged == sequence_number and not side.dialog.terminated:
                 side.unacknowledged = -1
-                say(f"call {side.call.key}: no ACK received for the 2xx, ending the call")
-                self._end_call(side.call, CAUSE_CUT, None)
+                log_text(f"call {side.call.key}: no ACK received for the 2xx, ending the call")
+                self._end_call(side.call, CAUSE_CALL_CUT, None)
 
         schedule_retransmit(self.timing.t1)
         self.schedule_at(self.now() + self.timing.transaction_timeout, on_ack_timeout)
 
-    def refuse_call(self, call: SipCall, retry_after_ms: float, reason: Why) -> None:
+    def refuse_call(self, call: SipCall, retry_after_ms: float, reason: RefusalReason) -> None:
         retry_headers = []
         if retry_after_ms > 0:
             retry_headers = [
@@ -323,9 +328,9 @@
     # --- attempts ---
 
     def _send_invite(self, attempt: Attempt) -> None:
-        hub, call = self.hubs.get(attempt.hub), self.calls.get(attempt.offer.call)
+        hub, call = self.hubs.get(attempt.hub), self.calls.get(attempt.offer.call_id)
         if hub is None or call is None:
-            self.inbox.tell(Ended(attempt, AttemptOutcome.UNREACHABLE))
+            self.inbox.put(AttemptFailed(attempt, AttemptOutcome.UNREACHABLE))
             return
         remaining_ms = attempt.deadline_ms - self.now()
         if remaining_ms <= 0:
@@ -381,7 +386,7 @@
             reason = RejectionReason.PROCESSOR_FULL
         elif message.status in BUSY_STATUSES:
             reason = RejectionReason.LINES_BUSY
-        self.inbox.tell(Ended(leg.attempt, outcome, reason, load_values(message, self.settings)))
+        self.inbox.put(AttemptFailed(leg.attempt, outcome, reason, load_values(message, self.settings)))
 
     def _handle_2xx(self, leg: HubLeg, message: Message) -> None:
         transaction, call = leg.transaction, leg.call
@@ -413,7 +418,7 @@
             return
         call.hub_side = side
         call.answer_content_type = message.get("content-type", call.answer_content_type)
-        self.inbox.tell(Stood(leg.attempt, message.body))
+        self.inbox.put(AttemptEstablished(leg.attempt, message.body))
 
     def _send_ack(self, side: DialogSide, caller_ack: Message | None) -> None:
         dialog, flow = side.dialog, self._dialog_flow(side.dialog)
@@ -429,7 +434,7 @@
         flow.send(side.last_ack)
 
     def _cancel_attempt(self, attempt: Attempt) -> None:
-        call = self.calls.get(attempt.offer.call)
+        call = self.calls.get(attempt.offer.call_id)
         leg = call.legs.get(attempt.number) if call is not None else None
         if leg is not None:
             self._cancel_leg(leg)
@@ -483,7 +488,7 @@
             reported_values = tuple(
                 float(values_by_field.get(load_field, -1)) for load_field in self.settings.load_fields
             )
-            self.inbox.tell(GroupState(hub.name, reported_values))
+            self.inbox.put(LoadReported(hub.name, reported_values))
 
     def _send_probe(self, name: bytes, deadline_ms: float) -> None:
         hub, sent_ms = self.hubs[name], self.now()
@@ -494,8 +499,10 @@
             if not completed and message.status >= 200:
                 completed = True
                 successful = message.status < 300
-                self.inbox.tell(
-                    Probed(name, successful, self.now() - sent_ms + 0.1, load_values(message, self.settings))
+                self.inbox.put(
+                    ProbeCompleted(
+                        name, successful, self.now() - sent_ms + 0.1, load_values(message, self.settings)
+                    )
                 )
 
         flow = self.transport_layer.flow_to(hub.transport, hub.host, hub.port, deadline_ms)
@@ -644,7 +651,7 @@
         transaction.respond(self._make_response(original_reinvite, received_response.status, *retry_headers))
         # the dialog no longer exists at the peer (12.2.1.2)
         if received_response.status in (408, 481) or not received_response.get("via"):
-            self._end_call(side.call, CAUSE_CUT, peer_side)
+            self._end_call(side.call, CAUSE_CALL_CUT, peer_side)
 
     def _cancel_reinvite(self, reinvite: ServerTransaction) -> None:
         """Forwards CANCEL to the other peer, whose final response then ends the re-INVITE."""
@@ -723,9 +730,9 @@
                     self._send_bye(side, cause)
         if ended_side is not None and not ended_side.is_caller:
             hub = next((leg.hub.name for leg in call.legs.values() if ended_side in leg.sides.values()), b"")
-            self.inbox.tell(HubReleased(call.key, hub, cause))
+            self.inbox.put(HubReleased(call.key, hub, cause))
         else:
-            self.inbox.tell(CallerReleased(call.key))
+            self.inbox.put(CallerReleased(call.key))
 
     def _release_hub(self, hub: bytes, key: str) -> None:
         call = self.calls.get(key)
@@ -737,9 +744,9 @@
     def _release_all(self) -> None:
         for call in list(self.calls.values()):
             if call.caller_side is not None or call.hub_side is not None:
-                self._end_call(call, CAUSE_CUT, None)
+                self._end_call(call, CAUSE_CALL_CUT, None)
             elif not call.invite_transaction.final_response_sent:  # it arrived after the core had ended
-                self.refuse_call(call, self.settings.max_retry_after_ms, Why.TURNED_AWAY)
+                self.refuse_call(call, self.settings.max_retry_after_ms, RefusalReason.UNAVAILABLE)
         self.all_released = True
 
     def flow_lost(self, flow: Flow) -> None:
@@ -763,7 +770,7 @@
             if server_transaction.flow.fallback_flow is flow:  # the final response is not deliverable
                 call = self.early_calls.get(server_transaction.key)
                 if call is not None and call.caller_side is not None:
-                    self._end_call(call, CAUSE_CUT, call.caller_side)
+                    self._end_call(call, CAUSE_CALL_CUT, call.caller_side)
         for side in list(self.dialog_sides.values()):
             awaiting_ack = side.unacknowledged >= 0  # its 2xx is retransmitted on a new connection anyway
             if side.dialog.flow is flow and not side.dialog.terminated and not awaiting_ack:
@@ -782,8 +789,8 @@
             unreachable = message.status in (408, 481) or not message.get("via")
             if unreachable and not side.dialog.terminated:
                 peer_name = "caller" if side.is_caller else "lab hub"
-                say(f"call {side.call.key}: the {peer_name} is unreachable, ending the call")
-                self._end_call(side.call, CAUSE_CUT, side)
+                log_text(f"call {side.call.key}: the {peer_name} is unreachable, ending the call")
+                self._end_call(side.call, CAUSE_CALL_CUT, side)
 
         flow = self._dialog_flow(side.dialog)
         self._start_client_transaction(
--- a/landingdeal/sip/transport.py
+++ b/landingdeal/sip/transport.py
@@ -10,7 +10,7 @@
 
 from landingdeal.clock import now_ms
 from landingdeal.core.lifecycle import Lifecycle
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.net.link import Acceptor, Link, dial
 from landingdeal.sip.message import MAX_MESSAGE_BYTES, MalformedMessage, Message, decode_datagram, encode
 from landingdeal.sip.transaction import Flow
@@ -59,7 +59,7 @@
         try:
             self.sock.sendto(encode(message), socket.MSG_DONTWAIT, (self.host, self.port))
         except OSError as error:  # like a lost datagram: the transaction retransmits
-            say(f"{self.name}: {error}")
+            log_text(f"{self.name}: {error}")
 
 
 class TcpFlow:
@@ -123,19 +123,19 @@
         self.udp.bind((host, port))
 
     def start(self) -> None:
-        self.lifecycle.doors += 1
+        self.lifecycle.open_listeners += 1
         self.listener = Acceptor(
             self.host,
             self.port,
             self._accept_connection,
-            lambda: self.lifecycle.accepts,
+            lambda: self.lifecycle.accepts_connections,
             self._listener_closed,
         )
-        self.lifecycle.watchers.append(self.listener.wake)
+        self.lifecycle.phase_listeners.append(self.listener.wake)
         start_thread("udp", self._read_udp)
 
     def _listener_closed(self) -> None:
-        self.lifecycle.doors -= 1
+        self.lifecycle.open_listeners -= 1
 
     def unsent(self) -> int:
         """Returns the number of connections with data still to be written."""
@@ -211,7 +211,9 @@
                 continue  # an ICMP error for an earlier datagram
             if len(data) > MAX_MESSAGE_BYTES:
                 self.oversized_datagrams += 1
-                say(f"UDP {host}:{port}: {len(data)} bytes exceed 16 KiB ({self.oversized_datagrams} so far)")
+                log_text(
+                    f"UDP {host}:{port}: {len(data)} bytes exceed 16 KiB ({self.oversized_datagrams} so far)"
+                )
             elif data.strip(b"\r\n\0"):  # a keep-alive has no content
                 message = decode_datagram(data)
                 if self.tap is not None and isinstance(message, Message):
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -9,12 +9,12 @@
 
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import Inbox
-from landingdeal.core.events import Attempt, Offer, Withdrawn
+from landingdeal.core.events import Attempt, Offer, SetUpCancelled
 from landingdeal.lab.ports import free_port
-from landingdeal.operator import read_operator
+from landingdeal.operator import parse_operator_config
 from landingdeal.sip.front import SipFront
-from tests.scenario import PATIENCE_S, play
-from tests.scenario_sip import Party, SipStage, operator_file
+from tests.scenario import TIMEOUT_S, play
+from tests.scenario_sip import Party, SipHarness, operator_file
 
 ESTABLISHED_CALL = """
         caller send INVITE a
@@ -307,7 +307,7 @@
     ids=[f"{transport}: {name}" for transport, name, _ in CASES],
 )
 def test_sip_scenario(transport: str, scenario: str, tmp_path: Path) -> None:
-    environment = SipStage(tmp_path, transport)
+    environment = SipHarness(tmp_path, transport)
     try:
         play(environment, scenario)
     finally:
@@ -319,13 +319,13 @@
 EventType = TypeVar("EventType")
 
 
-class InProcessFront(SipStage):
+class InProcessFront(SipHarness):
     """Runs the front in this process, without the program; the test takes the place of the core."""
 
     def __init__(self, transport: str) -> None:
         self.transport, self.port = transport, free_port()
         self.parties = {"hub1": Party("hub1", transport)}
-        operator = read_operator(operator_file(self.port, self.parties))
+        operator = parse_operator_config(operator_file(self.port, self.parties))
         assert operator.sip is not None and operator.settings is not None
         self.inbox = Inbox()
         self.front = SipFront(operator.sip, operator.settings, self.inbox, 1)
@@ -333,7 +333,7 @@
 
     def next_event(self, event_type: type[EventType]) -> EventType:
         """Returns the next event of this type that the front reports to the core; skips others."""
-        deadline_ms = now_ms() + PATIENCE_S * 1000
+        deadline_ms = now_ms() + TIMEOUT_S * 1000
         while now_ms() < deadline_ms:
             for event in self.inbox.take(deadline_ms):
                 if isinstance(event, event_type):
@@ -362,7 +362,7 @@
         caller expect 200 b
     """,
     )  # the response to OPTIONS shows that the front has handled the ACK
-    environment.next_event(Withdrawn)
+    environment.next_event(SetUpCancelled)
     environment.front.cancel(attempt)
     play(
         environment,
