--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -15,7 +15,7 @@
 from landingdeal.net.callers import CallerConnections
 from landingdeal.net.config import Config, TopologyEvent, read_config
 from landingdeal.net.hubs import HubConnections
-from landingdeal.service.life import run
+from landingdeal.service.main_loop import run
 from landingdeal.service.signals import Signals
 from landingdeal.threads import start_lasting_thread
 
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -16,7 +16,7 @@
 from landingdeal.errors import ConfigError
 from landingdeal.log import say
 from landingdeal.operator import Operator, read_operator
-from landingdeal.service.life import run
+from landingdeal.service.main_loop import run
 from landingdeal.service.signals import Signals
 from landingdeal.sip.capture import Capture
 from landingdeal.sip.front import SipFront
