--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -156,7 +156,7 @@
 
 def test_rule_four_a_cold_exchange_is_paced_and_not_used_as_tandem() -> None:
     stage = SoftswitchHarness()
-    stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, came_up_ms=stage.now),)))
+    stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, started_ms=stage.now),)))
     calls = [stage.call(1)[0] for _ in range(20)]
     assert sum(len(stage.sent(c)) for c in calls) <= 1
     stage.circuits(2, 0)
@@ -411,7 +411,7 @@
     for _ in range(100):
         stage.call(1)
         stage.give(TimerFired(0), 200.0)
-    stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, came_up_ms=stage.now),)))
+    stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, started_ms=stage.now),)))
     actions_before = len(stage.recorded_actions)
     for _ in range(25):
         stage.call(1)
@@ -575,7 +575,7 @@
     ]
     sent: list[float] = []
     for stage in stages:
-        stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, came_up_ms=stage.now),)))
+        stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, started_ms=stage.now),)))
         started_at, actions_before = stage.now, len(stage.recorded_actions)
         for index in range(60):
             # The total number of calls does not depend on the number of softswitches.
