--- a/landingdeal/service/signals.py
+++ b/landingdeal/service/signals.py
@@ -1,4 +1,4 @@
-"""Signals: noted by the handler, carried out by one thread, in the order in which they came."""
+"""Signals: queued by the signal handler and handled by one thread in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -11,40 +11,43 @@
 from landingdeal.log import log_event
 from landingdeal.threads import start_supervised_thread
 
-STOPS = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 @dataclass(frozen=True, slots=True)
-class Signalled:
+class ReceivedSignal:
+    """One signal and when it came."""
+
     number: int
     at_ms: float
 
 
 class Signals:
-    """Made before anything is opened or read: from then on no signal ends the process by itself.
+    """Catches SIGTERM, SIGINT and SIGHUP, which from then on do not end the process by themselves.
 
-    What comes before `carry_out` waits for it. The handlers only put into a queue that allows for that: they
-    may interrupt anything, themselves too, and start no thread, which the system may refuse.
+    Created before anything is opened or read. Signals that come before `handle_with` are queued until then.
+    The signal handlers only put into a reentrant queue: they may interrupt any code, themselves included, and
+    must not start a thread, which the system may refuse.
     """
 
     def __init__(self) -> None:
-        self._came: queue.SimpleQueue[Signalled] = queue.SimpleQueue()
-        for number in (*STOPS, signal.SIGHUP):
-            signal.signal(number, self._note)
+        self._received: queue.SimpleQueue[ReceivedSignal] = queue.SimpleQueue()
+        for number in (*STOP_SIGNALS, signal.SIGHUP):
+            signal.signal(number, self._on_signal)
 
-    def _note(self, number: int, _frame: object) -> None:
-        self._came.put(Signalled(number, now_ms()))
+    def _on_signal(self, number: int, _frame: object) -> None:
+        self._received.put(ReceivedSignal(number, now_ms()))
 
-    def carry_out(self, stop: Callable[[float], None], reread: Callable[[], None]) -> None:
-        """`stop` is given the time of its signal; SIGHUP is for `reread`. Neither may raise."""
+    def handle_with(self, stop: Callable[[float], None], reload: Callable[[], None]) -> None:
+        """Calls `stop` with the time of a SIGTERM or SIGINT, and `reload` on SIGHUP. Neither may raise."""
 
-        def work() -> None:
+        def handle_signals() -> None:
             while True:
-                came = self._came.get()
-                log_event("signal", number=came.number)
-                if came.number in STOPS:
-                    stop(came.at_ms)
+                received = self._received.get()
+                log_event("signal", number=received.number)
+                if received.number in STOP_SIGNALS:
+                    stop(received.at_ms)
                 else:
-                    reread()
+                    reload()
 
-        start_supervised_thread("signals", work)
+        start_supervised_thread("signals", handle_signals)
--- a/landingdeal/sip/transport.py
+++ b/landingdeal/sip/transport.py
@@ -11,7 +11,7 @@
 from landingdeal.clock import now_ms
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import log_text
-from landingdeal.net.link import Door, Link, dial
+from landingdeal.net.link import Acceptor, Link, dial
 from landingdeal.sip.message import MAX_MESSAGE, Malformed, Message, decode_datagram, encode
 from landingdeal.sip.transaction import Flow
 from landingdeal.threads import start_thread
@@ -121,7 +121,7 @@
 
     def start(self) -> None:
         self.life.open_listeners += 1
-        self.door = Door(
+        self.door = Acceptor(
             self.host, self.port, self._accepted, lambda: self.life.accepts_connections, self._shut
         )
         self.life.phase_listeners.append(self.door.wake)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -189,7 +189,7 @@
     harness = CoreHarness()
     harness.give(Offer("a", "sip:a@net", "voice", 99, now_ms() + 4000, b"body", harness.caller))
     assert harness.caller.received == [RefusalReason.FAILED]
-    assert not harness.broker.switch.rates and not harness.broker.pending
+    assert not harness.broker.switch.offered_rates and not harness.broker.pending
 
 
 def test_a_restart_of_a_hub_ends_the_calls_established_before_it() -> None:
@@ -224,7 +224,7 @@
     harness = CoreHarness()
     harness.hubs.connection_silent = connection_silent
     harness.offer()
-    far = harness.broker.switch.far[HUB]
+    far = harness.broker.switch.exchanges[HUB]
     window_before = far.window
     harness.broker._handle_attempt_timeout(harness.hubs.sent[0])
     assert (far.window < window_before) is not connection_silent
@@ -241,7 +241,7 @@
             harness.give(
                 HubListChanged(ExchangeList(ListKind.CHANGES, (ExchangeEntry(name, 1, health, 0.0),)))
             )
-    assert len(harness.broker.guard.hubs) < 50 and len(harness.broker.switch.far) < 50
+    assert len(harness.broker.guard.hubs) < 50 and len(harness.broker.switch.exchanges) < 50
 
 
 def test_after_an_exception_in_the_module_the_caller_still_gets_an_answer(
