--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -74,10 +74,8 @@
 RELEASE_MARGIN_MS = 10.0  # the release time counts from its arrival at the hub, later than the decision here
 PROBE_TIMEOUT_MS = 250.0
 CAUSE_CALL_CUT = 41  # Q.850 temporary failure: the call was cut; 16 is normal clearing
-NOT_ANSWERED = (
-    AttemptOutcome.TIMED_OUT,
-    AttemptOutcome.UNREACHABLE,
-)  # outcomes without an answer of the lab hub
+# Outcomes without an answer of the lab hub
+NOT_ANSWERED = (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE)
 REFUSAL_REASONS = {RejectionReason.LINES_BUSY: RefusalReason.BUSY}
 
 STOP_POLL_MS = 20.0  # between checks of the lifecycle while the program is stopping
@@ -90,6 +88,7 @@
     attempt: Attempt
 
 
+# An Attempt times out, a call id (str) reaches its deadline, a TimerFired is for the decision module
 Timer = Attempt | DelayedAttempt | TimerFired | str
 
 
@@ -117,6 +116,7 @@
         self.core_events.append(event)
 
     def size(self) -> int:
+        """The number of queued events."""
         return len(self.core_events) + self.queue.qsize()
 
     def take(self, until_ms: float) -> Iterator[CoreEvent]:
@@ -294,9 +294,9 @@
                 class_index,
                 offer.width,
                 offer.deadline_ms - self.now,
-                advised_number=offer.advised_tandem,
+                advised_number=offer.advised_number,
                 in_transit=offer.in_transit,
-                is_redial_after_cut=offer.again_after_cut,
+                is_redial_after_cut=offer.is_redial_after_cut,
                 called_number=offer.called_number,
             )
         )
@@ -373,11 +373,13 @@
                 self.ended.popitem(last=False)
 
     def _retry_after_ms(self) -> float:
+        """The retry time advised where the core refuses a call itself."""
         return self.settings.max_retry_after_ms if self.settings.sends_retry_after else 0.0
 
     # --- lab hubs ---
 
     def _pending_for(self, attempt: Attempt) -> PendingCall | None:
+        """The pending call of this attempt, if the attempt is the current one."""
         call = self.pending.get(attempt.offer.call_id)
         return call if call is not None and call.attempt is attempt else None
 
--- a/landingdeal/core/events.py
+++ b/landingdeal/core/events.py
@@ -77,7 +77,7 @@
     """A set-up as the caller sent it. `uri` and `description` are passed on unchanged.
 
     `destination` is the number of the lab hub called, `called_number` identifies the number dialled, and
-    `advised_tandem` is the tandem that the platform names, or in transit the origin (-1: none).
+    `advised_number` is the tandem that the platform names, or in transit the origin (-1: none).
     """
 
     call_id: str
@@ -90,9 +90,9 @@
     facts: str = ""
     called_number: int = 0
     width: int = 1
-    advised_tandem: int = -1
+    advised_number: int = -1
     in_transit: bool = False
-    again_after_cut: bool = False
+    is_redial_after_cut: bool = False
     team: str = ""
 
     def is_repeat_of(self, earlier: Offer) -> bool:
--- a/landingdeal/net/set_up.py
+++ b/landingdeal/net/set_up.py
@@ -71,8 +71,8 @@
         facts=message.get("x-facts"),
         called_number=int(number, 16),
         width=facts.get("width", 1),
-        advised_tandem=facts.get("via", -1),
+        advised_number=facts.get("via", -1),
         in_transit=bool(facts.get("transit", 0)),
-        again_after_cut=bool(facts.get("again", 0)),
+        is_redial_after_cut=bool(facts.get("again", 0)),
         team=message.get("organization"),
     )
