--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -345,7 +345,7 @@
         """Refuses a pending call without asking the decision module; does nothing if it has its answer."""
         if call.refuse(self._retry_after_ms(), call.refusal_reason):
             log_event("refused", call=call.offer.call_id, why=call.refusal_reason.value, by="core",
-                   attempts=call.attempt_count)  # fmt: skip
+                      attempts=call.attempt_count)  # fmt: skip
             self._abandon(call)
 
     def _abandon(self, call: PendingCall) -> None:
@@ -417,7 +417,7 @@
         if event.outcome not in NOT_ANSWERED:
             call.refused_ms_by_hub[attempt.hub] = self.now
         log_event("attempt_ended", call=attempt.offer.call_id, hub=attempt.hub, number=attempt.number,
-               ending=event.outcome.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
+                  ending=event.outcome.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
         timed_out = event.outcome is AttemptOutcome.TIMED_OUT
         call.refusal_reason = (
             RefusalReason.TIMED_OUT
@@ -494,7 +494,7 @@
             if established_call.attempt.hub == hub and established_call.attempt.sent_ms < before_ms
         ]
         if cut_call_ids:
-            log_text(f"{hub!r} is gone: {len(cut_call_ids)} established calls there are released")
+            log_text(f"{hub!r} failed: {len(cut_call_ids)} established calls there are released")
         for call_id in cut_call_ids:
             if call_id in self.established:
                 self._handle_hub_release(HubReleased(call_id, hub, CAUSE_CALL_CUT))
@@ -511,8 +511,8 @@
 
     def _execute(self, action: Action) -> None:
         match action:
-            case SetUp(call_number, hub, wait_ms):
-                self._execute_set_up(call_number, hub, wait_ms)
+            case SetUp(call_number, hub, timeout_ms):
+                self._execute_set_up(call_number, hub, timeout_ms)
             case Refuse(call_number, retry_after_ms):
                 self._execute_refusal(call_number, retry_after_ms, None)
             case FailCall(call_number, retry_after_ms):
@@ -534,12 +534,12 @@
             if attempt is not None:
                 call.not_before_ms = self.now + self.settings.release_wait_ms
             log_event("refused", call=call.offer.call_id, why=(reason or call.refusal_reason).value,
-                   by="module", attempts=call.attempt_count, come_back_ms=retry_after_ms)  # fmt: skip
+                      by="module", attempts=call.attempt_count, come_back_ms=retry_after_ms)  # fmt: skip
             self._remove_pending(call)
             if attempt is not None:
                 self.hubs.cancel(attempt)
 
-    def _execute_set_up(self, call_number: int, hub: bytes, wait_ms: float) -> None:
+    def _execute_set_up(self, call_number: int, hub: bytes, timeout_ms: float) -> None:
         call = self.pending_by_number.get(call_number)
         if call is None:
             return
@@ -551,8 +551,8 @@
             )
             return
         attempt_deadline_ms = call.deadline_ms - DEADLINE_MARGIN_MS
-        if wait_ms > 0:
-            attempt_deadline_ms = min(attempt_deadline_ms, self.now + wait_ms)
+        if timeout_ms > 0:
+            attempt_deadline_ms = min(attempt_deadline_ms, self.now + timeout_ms)
         send_ms = max(self.now, call.refused_ms_by_hub.get(hub, 0.0) + DUPLICATE_ANSWER_MS)
         attempt = Attempt(call.offer, call.attempt_count, hub, send_ms, attempt_deadline_ms)
         call.attempt, call.attempt_count, call.early_release = (
