--- a/landingdeal/commands/config.py
+++ b/landingdeal/commands/config.py
@@ -20,7 +20,7 @@
 
             read_config(text)
         else:
-            from landingdeal.operator import parse_operator_config
+            from landingdeal.operator_config import parse_operator_config
 
             parse_operator_config(text)
     except ConfigError as error:
--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -37,6 +37,7 @@
     TimerFired,
 )
 from landingdeal.clock import now_ms, seconds_until
+from landingdeal.core.calls import EstablishedCall, PendingCall
 from landingdeal.core.contracts import Contracts
 from landingdeal.core.events import (
     Attempt,
@@ -57,7 +58,6 @@
     SetUpCancelled,
     StopRequested,
 )
-from landingdeal.core.exchange import EstablishedCall, PendingCall
 from landingdeal.core.guard import Guard
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import log_event, log_text
--- a/landingdeal/core/guard.py
+++ b/landingdeal/core/guard.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from badgerstile.interface import ExchangeList, Health, ListKind, Settings
-from landingdeal.core.exchange import PendingCall
+from landingdeal.core.calls import PendingCall
 
 COLD_LIMIT_SHARE = (
     0.8  # of the set-ups that a cold processor may get; the rest is a margin for random variation
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -31,7 +31,7 @@
     """Reads the contracts of the operator's file; without one its parser is not even imported."""
     if not operator_path:
         return ()
-    from landingdeal.operator import parse_operator_config
+    from landingdeal.operator_config import parse_operator_config
 
     return parse_operator_config(Path(operator_path).read_text(encoding="utf-8"), on_platform=True).contracts
 
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -15,7 +15,7 @@
 from landingdeal.core.lifecycle import Lifecycle, times_before_kill
 from landingdeal.errors import ConfigError
 from landingdeal.log import log_text
-from landingdeal.operator import OperatorConfig, parse_operator_config
+from landingdeal.operator_config import OperatorConfig, parse_operator_config
 from landingdeal.service.life import run
 from landingdeal.service.signals import Signals
 from landingdeal.sip.capture import Capture
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -18,6 +18,7 @@
 from badgerstile.wire import read_settings
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import DUPLICATE_ANSWER_MS, MAX_INBOX_SIZE, Broker, Inbox
+from landingdeal.core.calls import PendingCall
 from landingdeal.core.contracts import Contract, Contracts
 from landingdeal.core.events import (
     Attempt,
@@ -31,7 +32,6 @@
     SetUpCancelled,
     StopRequested,
 )
-from landingdeal.core.exchange import PendingCall
 from landingdeal.core.guard import Guard
 from tests.scenario import SETTINGS
 
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -11,7 +11,7 @@
 from landingdeal.core.broker import Inbox
 from landingdeal.core.events import Attempt, Offer, SetUpCancelled
 from landingdeal.lab.ports import free_port
-from landingdeal.operator import parse_operator_config
+from landingdeal.operator_config import parse_operator_config
 from landingdeal.sip.front import SipFront
 from tests.scenario import TIMEOUT_S, play
 from tests.scenario_sip import Party, SipHarness, operator_file
