--- a/landingdeal/core/guard.py
+++ b/landingdeal/core/guard.py
@@ -7,11 +7,9 @@
 from badgerstile.interface import ExchangeList, Health, ListKind, Settings
 from landingdeal.core.calls import PendingCall
 
-COLD_LIMIT_SHARE = (
-    0.8  # of the set-ups that a cold processor may get; the rest is a margin for random variation
-)
-
-MAX_GONE_HUBS = 32  # removed lab hubs that are still remembered, the latest ones
+# Of the set-ups that a cold processor may get; the rest is a margin for random variation
+COLD_LIMIT_SHARE = 0.8
+MAX_GONE_HUBS = 32  # removed lab hubs that are still remembered
 
 
 class GuardedHub:
@@ -78,7 +76,10 @@
         self.hubs[name].send_times_ms.append(now)
 
     def _exceeds_cold_limit(self, hub: GuardedHub, now: float) -> bool:
-        """Whether one more set-up exceeds this border controller's part of what a cold processor accepts."""
+        """Whether one more set-up exceeds this border controller's part of what a cold processor may get.
+
+        Each border controller keeps to its part, so that all together don't overload the processor.
+        """
         age_ms = now - hub.started_ms
         if hub.started_ms <= 0 or age_ms >= self.settings.cold_ramp_ms or hub.capacity_per_s <= 0:
             return False
