--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -37,6 +37,7 @@
     TimerFired,
 )
 from landingdeal.clock import now_ms, seconds_until
+from landingdeal.core.calls import EstablishedCall, PendingCall
 from landingdeal.core.contracts import Contracts
 from landingdeal.core.events import (
     Attempt,
@@ -57,7 +58,6 @@
     SetUpCancelled,
     StopRequested,
 )
-from landingdeal.core.exchange import EstablishedCall, PendingCall
 from landingdeal.core.guard import Guard
 from landingdeal.core.lifecycle import Lifecycle
 from landingdeal.log import log_event, log_text
@@ -74,10 +74,8 @@
 RELEASE_MARGIN_MS = 10.0  # the release time counts from its arrival at the hub, later than the decision here
 PROBE_TIMEOUT_MS = 250.0
 CAUSE_CALL_CUT = 41  # Q.850 temporary failure: the call was cut; 16 is normal clearing
-NOT_ANSWERED = (
-    AttemptOutcome.TIMED_OUT,
-    AttemptOutcome.UNREACHABLE,
-)  # outcomes without an answer of the lab hub
+# Outcomes without an answer of the lab hub
+NOT_ANSWERED = (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE)
 REFUSAL_REASONS = {RejectionReason.LINES_BUSY: RefusalReason.BUSY}
 
 STOP_POLL_MS = 20.0  # between checks of the lifecycle while the program is stopping
@@ -90,6 +88,7 @@
     attempt: Attempt
 
 
+# An Attempt times out, a call id (str) reaches its deadline, a TimerFired is for the decision module
 Timer = Attempt | DelayedAttempt | TimerFired | str
 
 
@@ -117,6 +116,7 @@
         self.core_events.append(event)
 
     def size(self) -> int:
+        """The number of queued events."""
         return len(self.core_events) + self.queue.qsize()
 
     def take(self, until_ms: float) -> Iterator[CoreEvent]:
@@ -294,9 +294,9 @@
                 class_index,
                 offer.width,
                 offer.deadline_ms - self.now,
-                advised_number=offer.advised_tandem,
+                advised_number=offer.advised_number,
                 in_transit=offer.in_transit,
-                is_redial_after_cut=offer.again_after_cut,
+                is_redial_after_cut=offer.is_redial_after_cut,
                 called_number=offer.called_number,
             )
         )
@@ -345,7 +345,7 @@
         """Refuses a pending call without asking the decision module; does nothing if it has its answer."""
         if call.refuse(self._retry_after_ms(), call.refusal_reason):
             log_event("refused", call=call.offer.call_id, why=call.refusal_reason.value, by="core",
-                   attempts=call.attempt_count)  # fmt: skip
+                      attempts=call.attempt_count)  # fmt: skip
             self._abandon(call)
 
     def _abandon(self, call: PendingCall) -> None:
@@ -373,11 +373,13 @@
                 self.ended.popitem(last=False)
 
     def _retry_after_ms(self) -> float:
+        """The retry time advised where the core refuses a call itself."""
         return self.settings.max_retry_after_ms if self.settings.sends_retry_after else 0.0
 
     # --- lab hubs ---
 
     def _pending_for(self, attempt: Attempt) -> PendingCall | None:
+        """The pending call of this attempt, if the attempt is the current one."""
         call = self.pending.get(attempt.offer.call_id)
         return call if call is not None and call.attempt is attempt else None
 
@@ -415,7 +417,7 @@
         if event.outcome not in NOT_ANSWERED:
             call.refused_ms_by_hub[attempt.hub] = self.now
         log_event("attempt_ended", call=attempt.offer.call_id, hub=attempt.hub, number=attempt.number,
-               ending=event.outcome.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
+                  ending=event.outcome.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
         timed_out = event.outcome is AttemptOutcome.TIMED_OUT
         call.refusal_reason = (
             RefusalReason.TIMED_OUT
@@ -492,7 +494,7 @@
             if established_call.attempt.hub == hub and established_call.attempt.sent_ms < before_ms
         ]
         if cut_call_ids:
-            log_text(f"{hub!r} is gone: {len(cut_call_ids)} established calls there are released")
+            log_text(f"{hub!r} failed: {len(cut_call_ids)} established calls there are released")
         for call_id in cut_call_ids:
             if call_id in self.established:
                 self._handle_hub_release(HubReleased(call_id, hub, CAUSE_CALL_CUT))
@@ -509,8 +511,8 @@
 
     def _execute(self, action: Action) -> None:
         match action:
-            case SetUp(call_number, hub, wait_ms):
-                self._execute_set_up(call_number, hub, wait_ms)
+            case SetUp(call_number, hub, timeout_ms):
+                self._execute_set_up(call_number, hub, timeout_ms)
             case Refuse(call_number, retry_after_ms):
                 self._execute_refusal(call_number, retry_after_ms, None)
             case FailCall(call_number, retry_after_ms):
@@ -532,12 +534,12 @@
             if attempt is not None:
                 call.not_before_ms = self.now + self.settings.release_wait_ms
             log_event("refused", call=call.offer.call_id, why=(reason or call.refusal_reason).value,
-                   by="module", attempts=call.attempt_count, come_back_ms=retry_after_ms)  # fmt: skip
+                      by="module", attempts=call.attempt_count, come_back_ms=retry_after_ms)  # fmt: skip
             self._remove_pending(call)
             if attempt is not None:
                 self.hubs.cancel(attempt)
 
-    def _execute_set_up(self, call_number: int, hub: bytes, wait_ms: float) -> None:
+    def _execute_set_up(self, call_number: int, hub: bytes, timeout_ms: float) -> None:
         call = self.pending_by_number.get(call_number)
         if call is None:
             return
@@ -549,8 +551,8 @@
             )
             return
         attempt_deadline_ms = call.deadline_ms - DEADLINE_MARGIN_MS
-        if wait_ms > 0:
-            attempt_deadline_ms = min(attempt_deadline_ms, self.now + wait_ms)
+        if timeout_ms > 0:
+            attempt_deadline_ms = min(attempt_deadline_ms, self.now + timeout_ms)
         send_ms = max(self.now, call.refused_ms_by_hub.get(hub, 0.0) + DUPLICATE_ANSWER_MS)
         attempt = Attempt(call.offer, call.attempt_count, hub, send_ms, attempt_deadline_ms)
         call.attempt, call.attempt_count, call.early_release = (
