--- a/landingdeal/capture/calls.py
+++ b/landingdeal/capture/calls.py
@@ -15,7 +15,7 @@
 
 from landingdeal.capture.layers import Address
 from landingdeal.capture.messages import CapturedMessage
-from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
+from landingdeal.sip.address import AddressError, parse_name_addr, parse_uri
 from landingdeal.sip.message import Message
 
 RETRANSMISSION_WINDOW_NS = 32 * 10**9  # retransmissions may follow the end of a call for this long (64 * T1)
@@ -236,7 +236,7 @@
     @staticmethod
     def _add_to_ladder(call: _TrackedCall, captured: CapturedMessage) -> None:
         message = captured.message
-        label = f"{message.status} {message.reason}".strip() if message.status else message.method
+        label = f"{message.status} {message.reason_phrase}".strip() if message.status else message.method
         if message.status and message.cseq[1] != "INVITE":
             label += f" ({message.cseq[1]})"
         if len(call.record.ladder) < MAX_LADDER_MESSAGES:
@@ -330,7 +330,7 @@
     try:
         uri = parse_uri(parse_name_addr(message.get("from")).uri)
         return f"{uri.user}@{uri.host}" if uri.user else uri.host
-    except BadAddress:
+    except AddressError:
         return message.get("from")[:100]
 
 
@@ -339,11 +339,11 @@
     if not text:
         try:
             text = parse_name_addr(message.get("to")).uri
-        except BadAddress:
+        except AddressError:
             return ""
     try:
         return parse_uri(text).user or text
-    except BadAddress:
+    except AddressError:
         return text[:100]
 
 
--- a/landingdeal/capture/messages.py
+++ b/landingdeal/capture/messages.py
@@ -23,10 +23,10 @@
 from landingdeal.capture.problems import Problem, ProblemKind, Problems
 from landingdeal.capture.streams import OverlapConflict, StreamData, StreamEnded, StreamEvent, TcpReassembler
 from landingdeal.sip.message import (
-    MAX_MESSAGE,
-    BrokenFraming,
+    MAX_MESSAGE_BYTES,
     Framer,
-    Malformed,
+    FramingError,
+    MalformedMessage,
     Message,
     decode_datagram,
 )
@@ -177,12 +177,12 @@
         self,
         transport: str,
         endpoints: Endpoints,
-        message: Message | Malformed,
+        message: Message | MalformedMessage,
         time_ns: int,
         position: PacketPosition,
     ) -> Iterator[CapturedMessage]:
-        if isinstance(message, Malformed):
-            self._add_problem(ProblemKind.MALFORMED_MESSAGE, message.why, position)
+        if isinstance(message, MalformedMessage):
+            self._add_problem(ProblemKind.MALFORMED_MESSAGE, message.problem, position)
             return
         self.counts["messages"] += 1
         yield CapturedMessage(time_ns, transport, *endpoints, message, position, self.file)
@@ -229,18 +229,18 @@
                 data = self._find_start_line(direction, data)
                 if not data:
                     return
-            parsed: list[Message | Malformed] = []
+            parsed: list[Message | MalformedMessage] = []
             framing_error = ""
             try:
                 parsed.extend(direction.framer.feed(data))
-            except BrokenFraming as error:
+            except FramingError as error:
                 framing_error = str(error)
             data = b""
             for message in parsed:
                 yield from self._emit_message("TCP", endpoints, message, event.time_ns, event.position)
             if framing_error:
                 self._add_problem(ProblemKind.MALFORMED_MESSAGE, framing_error, event.position)
-                unparsed = direction.framer.held
+                unparsed = direction.framer.buffer
                 _, _, data = unparsed.partition(b"\n")  # continue after the start line that failed
                 direction.framer, direction.resynchronizing, direction.search_tail = Framer(), True, b""
 
@@ -258,7 +258,7 @@
     def _report_unfinished_message(
         self, direction: _Direction, endpoints: Endpoints, event: StreamEnded
     ) -> None:
-        unparsed = direction.framer.held.strip(b"\r\n")
+        unparsed = direction.framer.buffer.strip(b"\r\n")
         if not direction.resynchronizing and unparsed:
             detail = (
                 f"{_endpoints_text(endpoints)} ends ({event.reason}) {len(unparsed)} bytes into a message"
@@ -274,4 +274,4 @@
     return f"{source}:{source_port} to {target}:{target_port}"
 
 
-__all__ = ["MAX_MESSAGE", "CapturedMessage", "MessageExtractor", "looks_like_sip"]
+__all__ = ["MAX_MESSAGE_BYTES", "CapturedMessage", "MessageExtractor", "looks_like_sip"]
--- a/landingdeal/capture/player.py
+++ b/landingdeal/capture/player.py
@@ -12,10 +12,17 @@
 
 from landingdeal.capture.calls import Outcome
 from landingdeal.capture.plan import PlannedCall, identity
-from landingdeal.sip.address import BadAddress, parse_name_addr, parse_uri
+from landingdeal.sip.address import AddressError, parse_name_addr, parse_uri
 from landingdeal.sip.dialog import Dialog
 from landingdeal.sip.message import Message, request, response
-from landingdeal.sip.transaction import ClientTransaction, Flow, Layer, ServerTransaction, State, within
+from landingdeal.sip.transaction import (
+    ClientTransaction,
+    Flow,
+    ServerTransaction,
+    TransactionServices,
+    TransactionState,
+    request_in_transaction,
+)
 
 DEFAULT_PATIENCE_MS = 32_000.0  # if the capture has none
 REPLACED_HEADERS = frozenset((  # not copied from the recorded INVITE
@@ -53,7 +60,7 @@
 
     def __init__(
         self,
-        layer: Layer,
+        layer: TransactionServices,
         flow: Flow,
         addresses: ReplayAddresses,
         planned: PlannedCall,
@@ -85,20 +92,23 @@
         if self.finished:
             return
         if self.planned.cancel_after_ms >= 0:
-            self.layer.at(due_ms + self.planned.cancel_after_ms, self.cancel)
+            self.layer.schedule_at(due_ms + self.planned.cancel_after_ms, self.cancel)
         patience = self.planned.patience_ms or DEFAULT_PATIENCE_MS
-        self.layer.at(due_ms + patience, self.cancel)
+        self.layer.schedule_at(due_ms + patience, self.cancel)
         # the final answer to a cancelled INVITE is awaited for one transaction time-out
-        self.layer.at(due_ms + patience + self.layer.timing.b, self._expire)
+        self.layer.schedule_at(due_ms + patience + self.layer.timing.transaction_timeout, self._expire)
 
     def _via(self) -> str:
         self.branch_count += 1
         host, port = self.addresses.local
-        return f"SIP/2.0/{self.flow.kind} {host}:{port};branch=z9hG4bK{self.call_id}{self.branch_count};rport"
+        return (
+            f"SIP/2.0/{self.flow.transport} {host}:{port}"
+            f";branch=z9hG4bK{self.call_id}{self.branch_count};rport"
+        )
 
     def _contact(self) -> tuple[str, str]:
         host, port = self.addresses.local
-        suffix = ";transport=tcp" if self.flow.kind == "TCP" else ""
+        suffix = ";transport=tcp" if self.flow.transport == "TCP" else ""
         return "contact", f"<sip:replay@{host}:{port}{suffix}>"
 
     def _invite(self) -> Message:
@@ -106,7 +116,7 @@
         try:
             user = parse_uri(recorded.uri).user
             caller = parse_uri(parse_name_addr(recorded.get("from")).uri).user
-        except BadAddress:
+        except AddressError:
             user, caller = "", ""
         uri = f"sip:{user}@{host}:{port}" if user else f"sip:{host}:{port}"
         from_value = f"<sip:{caller or 'replay'}@{self.addresses.local[0]}>;tag={self.tag}"
@@ -137,16 +147,16 @@
     def _send_cancel(self) -> None:
         assert self.invite_transaction is not None
         self.cancel_transaction = self._start_client(
-            within(self.invite_transaction.request, "CANCEL"), lambda message: None
+            request_in_transaction(self.invite_transaction.request, "CANCEL"), lambda message: None
         )
 
     def send_bye(self) -> None:
         """Ends the established call."""
-        if self.dialog is None or self.dialog.over or self.finished:
+        if self.dialog is None or self.dialog.terminated or self.finished:
             return
-        self.dialog.over = True
+        self.dialog.terminated = True
         self.result.ended_by = "us"
-        outgoing = self.dialog.make("BYE", self._via(), ("reason", "Q.850;cause=16"))
+        outgoing = self.dialog.make_request("BYE", self._via(), ("reason", "Q.850;cause=16"))
         self.bye_transaction = self._start_client(outgoing, self._on_bye_response)
 
     def _on_bye_response(self, message: Message) -> None:
@@ -192,7 +202,7 @@
         if self.cancel_requested:  # the answer crossed our CANCEL: nobody wants the call any more
             self.send_bye()
         else:
-            self.layer.at(self.layer.now() + max(self.planned.hold_ms, 0.0), self.send_bye)
+            self.layer.schedule_at(self.layer.now() + max(self.planned.hold_ms, 0.0), self.send_bye)
 
     def _on_repeated_2xx(self, message: Message) -> None:
         """Acknowledges a retransmitted 2xx again; ends the dialog of another fork (13.2.2.4)."""
@@ -201,12 +211,18 @@
         if repeated_dialog.key == self.dialog.key:
             self._send_ack()
             return
-        self.flow.send(repeated_dialog.make("ACK", self._via(), seq=repeated_dialog.invite_seq))
-        self._start_client(repeated_dialog.make("BYE", self._via()), lambda message: None)
+        self.flow.send(
+            repeated_dialog.make_request(
+                "ACK", self._via(), sequence_number=repeated_dialog.invite_sequence_number
+            )
+        )
+        self._start_client(repeated_dialog.make_request("BYE", self._via()), lambda message: None)
 
     def _send_ack(self) -> None:
         assert self.dialog is not None
-        self.flow.send(self.dialog.make("ACK", self._via(), seq=self.dialog.invite_seq))
+        self.flow.send(
+            self.dialog.make_request("ACK", self._via(), sequence_number=self.dialog.invite_sequence_number)
+        )
 
     def handle_response(self, message: Message) -> None:
         """Passes a response of this call to its transaction, matched by branch and method (17.1.3)."""
@@ -214,14 +230,14 @@
         key = f"{branch}|{message.cseq[1]}"
         for transaction in (self.invite_transaction, self.cancel_transaction, self.bye_transaction):
             if transaction is not None and transaction.key == key:
-                transaction.received(message)
+                transaction.response_received(message)
 
     def handle_request(self, message: Message) -> None:
         """Answers a request that the other side sends within this call."""
         key = message.cseq
         known_transaction = self.server_transactions.get(key)
         if known_transaction is not None:
-            known_transaction.retransmitted()
+            known_transaction.request_retransmitted()
             return
         if message.method == "ACK":
             return
@@ -233,8 +249,8 @@
         match message.method:
             case "BYE" if self.dialog is not None:
                 transaction.respond(response(message, 200))
-                if not self.dialog.over:
-                    self.dialog.over = True
+                if not self.dialog.terminated:
+                    self.dialog.terminated = True
                     self.result.ended_by = "them"
                     self._finish()
             case "OPTIONS" | "INFO" | "NOTIFY" if self.dialog is not None:
@@ -247,8 +263,11 @@
     def connection_failed(self) -> None:
         """The TCP connection of this call failed."""
         transaction = self.invite_transaction
-        if transaction is not None and transaction.state in (State.CALLING, State.PROCEEDING):
-            transaction.failed()
+        if transaction is not None and transaction.state in (
+            TransactionState.CALLING,
+            TransactionState.PROCEEDING,
+        ):
+            transaction.transport_failed()
         elif not self.finished and self.dialog is not None:
             self.result.error = self.result.error or "the connection ended while the call stood"
             self._finish()
--- a/landingdeal/capture/replay.py
+++ b/landingdeal/capture/replay.py
@@ -24,8 +24,8 @@
 from landingdeal.capture.retries import RetryModel, RetryScheduler
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.net.link import Link, connect
-from landingdeal.sip.loop import Loop, Work
-from landingdeal.sip.message import Malformed, Message, decode_datagram, encode
+from landingdeal.sip.loop import EventLoop, Work
+from landingdeal.sip.message import MalformedMessage, Message, decode_datagram, encode
 from landingdeal.sip.transaction import Timing
 from landingdeal.threads import start_thread
 
@@ -53,7 +53,7 @@
 class _UdpFlow:
     """One UDP socket, shared by all calls."""
 
-    kind, reliable, alive, was_up = "UDP", False, True, True
+    transport, reliable, alive, was_connected = "UDP", False, True, True
 
     def __init__(self, target: tuple[str, int], received: Callable[[Message], None]) -> None:
         self.target = target
@@ -93,7 +93,7 @@
 class _TcpFlow:
     """One of several TCP connections. A failed one is replaced, with back-off, when the next call is due."""
 
-    kind, reliable = "TCP", True
+    transport, reliable = "TCP", True
 
     def __init__(self, target: tuple[str, int], replay: Replay) -> None:
         self.target, self.replay = target, replay
@@ -104,7 +104,7 @@
         self.link: Link | None = None
         self.queued: list[Message] = []
         self.players: dict[str, CallPlayer] = {}
-        self.alive, self.was_up = True, False
+        self.alive, self.was_connected = True, False
 
     def dial(self) -> None:
         """Connects; runs in a thread of its own."""
@@ -118,14 +118,14 @@
         self.replay.loop.post(lambda: self._connected(link))
 
     def _connected(self, link: Link) -> None:
-        self.link, self.was_up = link, True
+        self.link, self.was_connected = link, True
         link.start()
         self.replay.connected()
         queued, self.queued = self.queued, []
         for message in queued:
             link.send(message)
 
-    def _received(self, message: Message | Malformed) -> None:
+    def _received(self, message: Message | MalformedMessage) -> None:
         if isinstance(message, Message):
             self.replay.received(message)
 
@@ -160,7 +160,7 @@
         t1_ms: float = 500.0,
     ) -> None:
         self.plan, self.target, self.options, self.limits = plan, target, options, limits
-        self.loop, self.timing = Loop(), Timing(t1_ms)
+        self.loop, self.timing = EventLoop(), Timing(t1_ms)
         self.admission, self.backoff = AdmissionControl(limits), ConnectBackoff(limits)
         self.retries = RetryScheduler(options.retries, model, random.Random(options.seed))
         self.report = ReplayReport()
@@ -179,13 +179,13 @@
 
     # --- time and timers for the SIP transactions ---
 
-    def at(self, deadline_ms: float, work: Work) -> None:
-        self.loop.at(deadline_ms, work)
+    def schedule_at(self, deadline_ms: float, work: Work) -> None:
+        self.loop.schedule_at(deadline_ms, work)
 
     def now(self) -> float:
         return self.loop.now()
 
-    def over(self, transaction: object) -> None:
+    def transaction_terminated(self, transaction: object) -> None:
         pass  # transactions are forgotten together with their call
 
     # --- running the plan ---
@@ -225,10 +225,10 @@
             call = self.plan[self.next_index]
             due_ms = self._due_ms(call)
             if due_ms > self.loop.now():
-                self.loop.at(due_ms, self._offer_due)
+                self.loop.schedule_at(due_ms, self._offer_due)
                 return
             if self.next_index >= self.reserved_count:  # not yet in the state file: the disk is slow
-                self.loop.at(self.loop.now() + 1, self._offer_due)
+                self.loop.schedule_at(self.loop.now() + 1, self._offer_due)
                 return
             self.next_index += 1
             if self.retries.skips(call.first_try > 0):
@@ -312,7 +312,9 @@
         if result.outcome is Outcome.ESTABLISHED:
             self.admission.call_ended()
         # kept for a while, since a retransmitted final answer may still need its ACK
-        self.loop.at(self.loop.now() + min(self.timing.b, 2000.0), lambda: self._forget(player))
+        self.loop.schedule_at(
+            self.loop.now() + min(self.timing.transaction_timeout, 2000.0), lambda: self._forget(player)
+        )
         self._record_result(result)
 
     def _forget(self, player: CallPlayer) -> None:
@@ -334,7 +336,7 @@
                     self.pending -= 1
                     self._start_try(call, try_number + 1, due_ms)
 
-                self.loop.at(due_ms, retry)
+                self.loop.schedule_at(due_ms, retry)
                 return
         self._mark_done(call, result.error or f"{result.outcome.value} {result.status or ''}".strip())
         self._check_finished()
--- a/landingdeal/capture/sample.py
+++ b/landingdeal/capture/sample.py
@@ -78,7 +78,7 @@
         untagged = response(to, status, *extra_headers, body=body)
         tag = f";tag=h{number:x}"
         tagged = tuple((k, v + tag if k == "to" and "tag=" not in v else v) for k, v in untagged.headers)
-        return Message(status=status, reason=untagged.reason, headers=tagged, body=body)
+        return Message(status=status, reason_phrase=untagged.reason_phrase, headers=tagged, body=body)
 
     class_name = random_.choice(profile.class_names)
     invite = build_request(
--- a/landingdeal/capture/sink.py
+++ b/landingdeal/capture/sink.py
@@ -21,7 +21,7 @@
 from landingdeal.capture.layers import Address
 from landingdeal.capture.rotation import ClosedFile, RotationLimits, files_to_remove, needs_new_file
 from landingdeal.clock import now_ms, seconds_until
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.sip.message import Message, encode
 from landingdeal.threads import start_thread
 
@@ -66,11 +66,11 @@
 
     # --- from any thread ---
 
-    def passed(self, transport: str, source: Address, target: Address, message: Message) -> None:
+    def message_passed(self, transport: str, source: Address, target: Address, message: Message) -> None:
         """Queues a message that was sent or received."""
         self._enqueue(QueuedMessage(now_ms(), transport, source, target, message))
 
-    def closed(self, source: Address, target: Address, reset: bool) -> None:
+    def connection_closed(self, source: Address, target: Address, reset: bool) -> None:
         """Queues the end of a TCP connection."""
         self._enqueue(QueuedMessage(now_ms(), "TCP", source, target, None, reset))
 
@@ -103,7 +103,7 @@
                     self.file.write(self.encoder.packet_record(self.last_ns, frame))
                 self.file.close()
         summary = f"capture: {self.written_messages} messages written"
-        say(
+        log_text(
             f"{summary}, {self.dropped_messages} dropped (queue full), "
             f"{self.failed_messages} not written (disk error)"
         )
@@ -177,7 +177,7 @@
 
     def _abandon_file(self, error: str) -> None:
         """Closes the file after a write error; it is kept, and a new one is opened later."""
-        say(f"capture: {error}; messages are dropped until a new file opens")
+        log_text(f"capture: {error}; messages are dropped until a new file opens")
         self._close_file()
         self.reopen_at_ms = now_ms() + REOPEN_DELAY_MS
 
@@ -207,7 +207,7 @@
         try:
             self._open_file()
         except OSError as error:
-            say(f"capture: {error}; messages are dropped until a new file opens")
+            log_text(f"capture: {error}; messages are dropped until a new file opens")
             self.reopen_at_ms = now_ms() + REOPEN_DELAY_MS
         if closed is not None and self.compress:
             number = self.last_file_number
@@ -252,7 +252,7 @@
         part.rename(compressed)
         path.unlink(missing_ok=True)
     except OSError as error:
-        say(f"capture: {path.name} stays uncompressed: {error}")
+        log_text(f"capture: {path.name} stays uncompressed: {error}")
         with contextlib.suppress(OSError):
             part.unlink(missing_ok=True)
 
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -20,7 +20,7 @@
 from landingdeal.capture.retries import RetryPolicy
 from landingdeal.capture.views import COLUMNS, as_row, call_table, ladder_lines
 from landingdeal.commands.main import EXIT_CANNOT_RUN, EXIT_PROBLEMS
-from landingdeal.errors import address
+from landingdeal.errors import parse_address
 
 FILES_ARGUMENT = click.argument("files", nargs=-1, required=True)
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
@@ -214,7 +214,7 @@
         raise click.ClickException(f"nothing to offer in {', '.join(files)}: {skipped.reasons or 'no calls'}")
     limits = ReplayLimits(max_pending=given["outstanding"], max_per_s=given["per_s"])
     runner = Replay(
-        planned, address(to, "--to"), options, limits, state_file=given["state"], t1_ms=given["t1_ms"]
+        planned, parse_address(to, "--to"), options, limits, state_file=given["state"], t1_ms=given["t1_ms"]
     )
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, lambda *_: runner.stop())
--- a/landingdeal/commands/config.py
+++ b/landingdeal/commands/config.py
@@ -20,9 +20,9 @@
 
             read_config(text)
         else:
-            from landingdeal.operator import read_operator
+            from landingdeal.operator_config import parse_operator_config
 
-            read_operator(text)
+            parse_operator_config(text)
     except ConfigError as error:
         return str(error)
     return ""
--- a/landingdeal/core/events.py
+++ b/landingdeal/core/events.py
@@ -1,4 +1,7 @@
-"""What the fronts tell the core. Each is decoded once, frozen, and carries absolute deadlines."""
+"""Events that the fronts (platform and SIP) send to the core, and the interfaces that the core calls back.
+
+Events are immutable and fully decoded. Times are milliseconds of `clock.now_ms`; deadlines are absolute.
+"""
 
 from __future__ import annotations
 
@@ -10,78 +13,98 @@
 from landingdeal.core.contracts import Contract
 
 
-class Why(Enum):
-    """Why a call is refused; all but FAILED and FORBIDDEN say that trying again is harmless."""
+class RefusalReason(Enum):
+    """Why a call is refused. After all but FAILED and FORBIDDEN the caller may safely retry."""
 
-    TURNED_AWAY = "turned away"
+    UNAVAILABLE = "turned away"
     BUSY = "busy"
     TIMED_OUT = "timed out"
     FAILED = "failed"
     FORBIDDEN = "forbidden"
 
 
-class CallerSide(Protocol):
-    """Server side: where the final answer of one call goes. None of its functions blocks."""
+class CallerResponder(Protocol):
+    """Sends the final answer and the release of one call to its caller. No method blocks."""
 
     @property
     def origin(self) -> object:
-        """What it came on: only from there can the set-up be given up."""
+        """The connection that the set-up came on; a set-up can be cancelled only from its origin."""
         ...
 
     def reachable(self) -> bool:
-        """Whether an answer given now would leave: its connection has not ended."""
+        """Whether an answer can still be sent: the connection has not ended."""
         ...
 
-    def answer(self, description: bytes) -> None: ...
+    def answer(self, description: bytes) -> None:
+        """Accepts the call with the hub's session description."""
+        ...
 
-    def refuse(self, come_back_ms: float, why: Why) -> None: ...
+    def refuse(self, retry_after_ms: float, reason: RefusalReason) -> None:
+        """Refuses the call. `retry_after_ms` is 0 if no retry time is advised."""
+        ...
 
-    def release(self, cause: int) -> None: ...
+    def release(self, cause: int) -> None:
+        """Ends the established call; `cause` is a Q.850 cause."""
+        ...
 
 
-class HubSide(Protocol):
-    """Client side: towards all lab hubs. None of its functions blocks."""
+class HubClient(Protocol):
+    """Sends requests to the lab hubs. No method blocks."""
 
-    def set_up(self, attempt: Attempt) -> None: ...
+    def set_up(self, attempt: Attempt) -> None:
+        """Sends the set-up; an `AttemptEstablished` or `AttemptFailed` event reports the outcome."""
+        ...
 
     def cancel(self, attempt: Attempt) -> bool:
-        """True if it went where nothing was heard since, while the lab hub goes on answering elsewhere."""
+        """Cancels a pending attempt.
+
+        Returns true if nothing was received on its connection since the set-up, while the lab hub answers on
+        another one.
+        """
         ...
 
-    def release(self, hub: bytes, call: str) -> None: ...
+    def release(self, hub: bytes, call_id: str) -> None:
+        """Releases a call at a lab hub."""
+        ...
 
-    def probe(self, hub: bytes, deadline_ms: float) -> None: ...
+    def probe(self, hub: bytes, deadline_ms: float) -> None:
+        """Asks a lab hub for its load; a `ProbeCompleted` event reports the result."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A set-up as the caller sent it. `uri` and `description` are passed on unchanged."""
+    """A set-up as the caller sent it. `uri` and `description` are passed on unchanged.
+
+    `destination` is the number of the lab hub called, `called_number` identifies the number dialled, and
+    `advised_number` is the tandem that the platform names, or in transit the origin (-1: none).
+    """
 
-    call: str
+    call_id: str
     uri: str
     class_name: str
     destination: int
     deadline_ms: float
     description: bytes
-    caller: CallerSide
+    caller: CallerResponder
     facts: str = ""
-    key: int = 0
+    called_number: int = 0
     width: int = 1
-    advised: int = -1
+    advised_number: int = -1
     in_transit: bool = False
-    again_after_cut: bool = False
+    is_redial_after_cut: bool = False
     team: str = ""
 
-    def same_call(self, other: Offer) -> bool:
-        """The same set-up come again, and not another one under its id."""
+    def is_repeat_of(self, earlier: Offer) -> bool:
+        """Whether this is the same set-up sent again, not another one that uses the same call id."""
         return (self.uri, self.class_name, self.facts, self.description) == (
-            other.uri, other.class_name, other.facts, other.description
+            earlier.uri, earlier.class_name, earlier.facts, earlier.description
         )  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One set-up towards one lab hub."""
+    """One set-up sent to one lab hub; `number` counts the attempts of a call from 0."""
 
     offer: Offer
     number: int
@@ -91,96 +114,105 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
-    """The caller stopped waiting; no answer is owed."""
+class SetUpCancelled:
+    """The caller cancelled the set-up or its connection ended; no answer may follow."""
 
-    call: str
-    caller: CallerSide
+    call_id: str
+    caller: CallerResponder
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
-    """What the caller's connection carries can't be read any further: an answer is owed, and at once."""
+class CallerStreamBroken:
+    """The input from the caller's connection can't be parsed any further: the call is refused at once."""
 
-    call: str
-    caller: CallerSide
+    call_id: str
+    caller: CallerResponder
 
 
 @dataclass(frozen=True, slots=True)
-class Stood:
+class AttemptEstablished:
+    """The lab hub accepted the call."""
+
     attempt: Attempt
     description: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """The attempt ended without standing."""
+class AttemptFailed:
+    """The attempt ended without an established call."""
 
     attempt: Attempt
-    ending: AttemptOutcome
+    outcome: AttemptOutcome
     reason: RejectionReason = RejectionReason.NONE
-    report: tuple[float, ...] = ()
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class HubReleased:
-    """A lab hub released a call; it may be one from before this program started."""
+    """A lab hub released a call, possibly one that was set up before this process started."""
 
-    call: str
+    call_id: str
     hub: bytes
     cause: int
-    report: tuple[float, ...] = ()
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class CallerReleased:
-    call: str
+    """The caller released its call."""
+
+    call_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class HubDied:
-    """The lab hub's process has died or it is silent: calls set up before that moment are cut."""
+class HubFailed:
+    """The lab hub's process failed or is unresponsive: calls set up before `before_ms` are cut."""
 
     hub: bytes
     before_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class GroupState:
+class LoadReported:
+    """A lab hub reported its load without being asked."""
+
     hub: bytes
-    figures: tuple[float, ...]
+    load_values: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeCompleted:
+    """A probe was answered, or timed out (`succeeded` is false)."""
+
     hub: bytes
-    well: bool
+    succeeded: bool
     latency_ms: float
-    figures: tuple[float, ...] = ()
+    load_values: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class News:
-    """Of the list of lab hubs."""
+class HubListChanged:
+    """The list of lab hubs changed."""
 
     change: ExchangeList
 
 
 @dataclass(frozen=True, slots=True)
-class Budgets:
-    """The operator's file was read again: these contracts count from now on."""
+class ContractsChanged:
+    """The operator's file was reloaded: these contracts apply from now on."""
 
     contracts: tuple[Contract, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    """Answer what is open, then end. The kill is counted from when it was asked."""
+class StopRequested:
+    """Answer all pending calls, then end. The time until the platform's kill counts from `requested_ms`."""
 
-    asked_ms: float
+    requested_ms: float
 
 
-Arrival = (
-    Offer | Withdrawn | Unreadable | Stood | Ended | HubReleased | CallerReleased
-    | HubDied | GroupState | Probed | News | Budgets | Stop
+CoreEvent = (
+    Offer | SetUpCancelled | CallerStreamBroken | AttemptEstablished | AttemptFailed | HubReleased
+    | CallerReleased | HubFailed | LoadReported | ProbeCompleted | HubListChanged | ContractsChanged
+    | StopRequested
 )  # fmt: skip
--- a/landingdeal/net/link.py
+++ b/landingdeal/net/link.py
@@ -18,10 +18,10 @@
 
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core import steps
-from landingdeal.core.lifecycle import Held
-from landingdeal.log import say
-from landingdeal.sip.message import BrokenFraming, Framer, Malformed, Message, Oversize, encode
-from landingdeal.threads import start_lasting_thread, start_thread
+from landingdeal.core.lifecycle import ConnectionState
+from landingdeal.log import log_text
+from landingdeal.sip.message import Framer, FramingError, MalformedMessage, Message, OversizedMessage, encode
+from landingdeal.threads import start_supervised_thread, start_thread
 
 NO_DEADLINE = float("inf")
 TCP_CLOSED = 7  # TCP state after a reset; after an orderly close by the peer it is CLOSE_WAIT, 8
@@ -86,7 +86,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        on_message: Callable[[Link, Message | Malformed], None],
+        on_message: Callable[[Link, Message | MalformedMessage], None],
         on_end: Callable[[Link, bool], None],
     ) -> None:
         self.sock = sock
@@ -146,8 +146,8 @@
         except OSError:
             return False  # nothing to read, or the connection has failed
 
-    def pending_work(self, unanswered: int) -> Held:
-        return Held(unanswered, self.unsent(), self.unread())
+    def pending_work(self, unanswered: int) -> ConnectionState:
+        return ConnectionState(unanswered, self.unsent(), self.unread())
 
     def close_with_reason(self, close_reason: str) -> None:
         """Closes the connection; the first reason given is logged."""
@@ -164,13 +164,13 @@
         with contextlib.suppress(OSError):  # a peer that does not read must not block the writer forever
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _TIMEVAL.pack(self.SEND_TIMEOUT_S, 0))
         while True:
-            message_out = self.send_queue.get()
-            if message_out is None:
+            outgoing = self.send_queue.get()
+            if outgoing is None:
                 break
             try:
-                steps.at(steps.WRITING)
-                if message_out.still_wanted is None or message_out.still_wanted():
-                    self.sock.sendall(message_out.data)
+                steps.reached(steps.WRITING)
+                if outgoing.still_wanted is None or outgoing.still_wanted():
+                    self.sock.sendall(outgoing.data)
                 self.send_queue.task_done()
             except BlockingIOError:
                 self.close_reason = self.close_reason or "its peer does not read"
@@ -209,10 +209,10 @@
         """Reads until the connection ends; True if the peer has reset it."""
         try:
             return self._receive()
-        except Oversize as error:
+        except OversizedMessage as error:
             self._stop_reading(str(error))
             self._discard_rest(error)
-        except BrokenFraming as error:
+        except FramingError as error:
             self._stop_reading(str(error))
         except BlockingIOError:
             self._stop_reading("a message was not whole in time")
@@ -231,14 +231,14 @@
             data = self.sock.recv(READ_SIZE)
             if not data:
                 return self.alive and self._reset_by_peer()
-            steps.at(steps.READ)
+            steps.reached(steps.READ)
             self.last_received_ms = now_ms()
-            was_partial, completed = bool(framer.held), False
+            was_partial, completed = bool(framer.buffer), False
             for message in framer.feed(data):
                 completed = True
                 self.on_message(self, message)
             self.handled_bytes += len(data)
-            if not framer.held:
+            if not framer.buffer:
                 due_ms = NO_DEADLINE if completed else due_ms
             elif completed or not was_partial:
                 due_ms = min(
@@ -268,7 +268,7 @@
             )
         return True
 
-    def _discard_rest(self, error: Oversize) -> None:
+    def _discard_rest(self, error: OversizedMessage) -> None:
         """Handles an oversized message: here the connection just ends."""
 
 
@@ -284,7 +284,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        on_message: Callable[[CallerLink, Message | Malformed], None],
+        on_message: Callable[[CallerLink, Message | MalformedMessage], None],
         on_end: Callable[[CallerLink, bool], None],
         on_unreadable: Callable[[CallerLink], None],
         unanswered: Callable[[CallerLink], int],
@@ -299,10 +299,14 @@
         while self.alive and (self.unanswered(self) or self.unsent()) and now_ms() < until:
             time.sleep(seconds_until(min(now_ms() + 5, until)))
 
-    def _discard_rest(self, error: Oversize) -> None:
+    def _discard_rest(self, error: OversizedMessage) -> None:
         """Refuses the message, then drops its rest: a close with unread bytes would discard the refusal."""
         self.on_message(self, error.malformed)
-        remaining, until, buffer = error.rest, now_ms() + self.MESSAGE_TIMEOUT_MS, bytearray(4 * READ_SIZE)
+        remaining, until, buffer = (
+            error.remaining_bytes,
+            now_ms() + self.MESSAGE_TIMEOUT_MS,
+            bytearray(4 * READ_SIZE),
+        )
         if remaining > MAX_DISCARDED_BYTES:
             return
         with contextlib.suppress(OSError):
@@ -322,7 +326,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        on_message: Callable[[HubLink, Message | Malformed], None],
+        on_message: Callable[[HubLink, Message | MalformedMessage], None],
         on_end: Callable[[HubLink, bool], None],
     ) -> None:
         super().__init__(sock, lambda _, message: on_message(self, message), lambda _, r: on_end(self, r))
@@ -359,7 +363,7 @@
         self.listener.listen(512)
         self.listener.setblocking(False)
         self.wake_event = os.eventfd(0, os.EFD_NONBLOCK)
-        start_lasting_thread("accept", self._run)
+        start_supervised_thread("accept", self._run)
 
     def wake(self) -> None:
         """Makes the thread check `accepts` again. May be called from any thread."""
@@ -390,11 +394,11 @@
                     time.sleep(seconds_until(now_ms() + ACCEPT_RETRY_MS))
                     return
                 continue  # the peer closed before the accept
-            steps.at(steps.ACCEPTED)
+            steps.reached(steps.ACCEPTED)
             try:
                 sock.setblocking(True)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 self.on_accepted(sock)
             except Exception as error:  # one failure must not end the accepting of later connections
-                say(f"cannot serve an accepted connection: {type(error).__name__} {error}")
+                log_text(f"cannot serve an accepted connection: {type(error).__name__} {error}")
                 sock.close()
--- a/landingdeal/service/with_sip.py
+++ b/landingdeal/service/with_sip.py
@@ -11,23 +11,27 @@
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import Broker, Inbox
 from landingdeal.core.contracts import Contracts
-from landingdeal.core.events import Budgets, News
+from landingdeal.core.events import ContractsChanged, HubListChanged
 from landingdeal.core.lifecycle import Lifecycle, times_before_kill
 from landingdeal.errors import ConfigError
-from landingdeal.log import say
-from landingdeal.operator import Operator, read_operator
-from landingdeal.service.life import run
+from landingdeal.log import log_text
+from landingdeal.operator_config import OperatorConfig, parse_operator_config
+from landingdeal.service.main_loop import run
 from landingdeal.service.signals import Signals
-from landingdeal.sip.capture import Capture
+from landingdeal.sip.capture import CapturePlayback
 from landingdeal.sip.front import SipFront
 
 CAPTURE_FLUSH_MS = 2000.0  # at the end, for writing the rest of the capture
 RELEASE_FLUSH_MS = 2000.0  # at the end, for answers to the SIP front's last releases
 
 
-def read_operator_file(operator_path: str) -> Operator:
+def read_operator_file(operator_path: str) -> OperatorConfig:
     """Reads the operator's file; without one the defaults apply."""
-    return read_operator(Path(operator_path).read_text(encoding="utf-8")) if operator_path else Operator()
+    return (
+        parse_operator_config(Path(operator_path).read_text(encoding="utf-8"))
+        if operator_path
+        else OperatorConfig()
+    )
 
 
 def serve(operator_path: str, signals: Signals) -> None:
@@ -38,7 +42,7 @@
     _serve_operator(operator, operator_path, signals)
 
 
-def _serve_operator(operator: Operator, operator_path: str, signals: Signals) -> None:
+def _serve_operator(operator: OperatorConfig, operator_path: str, signals: Signals) -> None:
     assert operator.sip is not None and operator.settings is not None
     longest_deadline_ms = max(call_class.deadline_ms for call_class in operator.settings.classes)
     inbox, life = Inbox(), Lifecycle(times_before_kill(longest_deadline_ms, RELEASE_FLUSH_MS))
@@ -53,15 +57,18 @@
         else None
     )
     front = SipFront(operator.sip, operator.settings, inbox, seed, life, sink)
-    capture = Capture(capture_settings.read, sink, listen_address) if capture_settings.read else None
+    capture = CapturePlayback(capture_settings.read, sink, listen_address) if capture_settings.read else None
     contracts = Contracts(operator.contracts)
     broker = Broker(operator.settings, seed, inbox, front, lambda call, cause: None, contracts, life)
     entries = tuple(ExchangeEntry(hub.name, hub.number, Health.READY, 0.0) for hub in operator.sip.hubs)
-    inbox.tell(News(ExchangeList(ListKind.CACHED, entries)))
+    inbox.put(HubListChanged(ExchangeList(ListKind.CACHED, entries)))
     front.start(capture)
-    say(f"SIP front on {operator.sip.host}:{operator.sip.port}, UDP and TCP")
+    log_text(f"SIP front on {operator.sip.host}:{operator.sip.port}, UDP and TCP")
     run(
-        broker, front.flush, signals, lambda: inbox.tell(Budgets(read_operator_file(operator_path).contracts))
+        broker,
+        front.flush,
+        signals,
+        lambda: inbox.put(ContractsChanged(read_operator_file(operator_path).contracts)),
     )
     if sink is not None:
         sink.end(now_ms() + CAPTURE_FLUSH_MS)
--- a/landingdeal/sip/call.py
+++ b/landingdeal/sip/call.py
@@ -1,31 +1,33 @@
-"""What the SIP front keeps of a call: its legs, its sides, and what the core holds of its caller."""
+"""State of a call in the SIP front (its legs and dialogs), and the caller handle that the core uses."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Protocol
 
-from landingdeal.core.events import Attempt, Why
+from landingdeal.core.events import Attempt, RefusalReason
 from landingdeal.sip.address import parse_name_addr
 from landingdeal.sip.dialog import Dialog
-from landingdeal.sip.loop import Loop
+from landingdeal.sip.loop import EventLoop
 from landingdeal.sip.message import Message
 from landingdeal.sip.transaction import ClientTransaction, ServerTransaction, Timing
 
 
-class Front(Protocol):
-    loop: Loop
+class CallerOperations(Protocol):
+    """Operations on the caller's side of a call; they run in the thread of the event loop."""
 
-    def answer_call(self, call: Call, description: bytes) -> None: ...
+    event_loop: EventLoop
 
-    def refuse_call(self, call: Call, come_back_ms: float, why: Why) -> None: ...
+    def answer_call(self, call: SipCall, description: bytes) -> None: ...
 
-    def release_caller(self, call: Call, cause: int) -> None: ...
+    def refuse_call(self, call: SipCall, retry_after_ms: float, reason: RefusalReason) -> None: ...
+
+    def release_caller(self, call: SipCall, cause: int) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
-class HubPlace:
-    """A lab hub of the operator's file; `circuits` 0 where they are not counted here."""
+class HubConfig:
+    """A lab hub of the operator's file; with `circuits` 0, this program does not count its circuits."""
 
     name: bytes
     number: int
@@ -37,77 +39,86 @@
 
 @dataclass(frozen=True, slots=True)
 class SipConfig:
+    """The section `[sip]` of the operator's file; `routes` has the longest prefix first."""
+
     host: str
     port: int
     timing: Timing
-    hubs: tuple[HubPlace, ...]
-    routes: tuple[tuple[str, int], ...]  # prefix of the number called, number of the lab hub
+    hubs: tuple[HubConfig, ...]
+    routes: tuple[tuple[str, int], ...]  # prefix of the called number, number of the lab hub
     default_class: str
 
 
 class SipCaller:
-    """What the core holds of a caller: it posts, and never waits."""
+    """The caller as the core sees it; each method posts to the event loop and never blocks."""
 
-    __slots__ = ("front", "call")
+    __slots__ = ("operations", "call")
 
-    def __init__(self, front: Front, call: Call) -> None:
-        self.front, self.call = front, call
+    def __init__(self, operations: CallerOperations, call: SipCall) -> None:
+        self.operations, self.call = operations, call
 
     @property
     def origin(self) -> object:
+        """Identifies the source of the call: here each call has its own."""
         return self.call
 
     def reachable(self) -> bool:
-        return True  # each call of this front has an id of its own, and its answer finds a connection
+        return True  # call keys are unique here, and a response can be sent on a new connection
 
     def answer(self, description: bytes) -> None:
-        self.front.loop.post(lambda: self.front.answer_call(self.call, description))
+        self.operations.event_loop.post(lambda: self.operations.answer_call(self.call, description))
 
-    def refuse(self, come_back_ms: float, why: Why) -> None:
-        self.front.loop.post(lambda: self.front.refuse_call(self.call, come_back_ms, why))
+    def refuse(self, retry_after_ms: float, reason: RefusalReason) -> None:
+        self.operations.event_loop.post(
+            lambda: self.operations.refuse_call(self.call, retry_after_ms, reason)
+        )
 
     def release(self, cause: int) -> None:
-        self.front.loop.post(lambda: self.front.release_caller(self.call, cause))
+        self.operations.event_loop.post(lambda: self.operations.release_caller(self.call, cause))
 
 
-class Side:
-    """One standing leg of a call."""
+class DialogSide:
+    """One established dialog of a call: towards its caller or towards its hub."""
 
-    def __init__(self, call: Call, dialog: Dialog, caller: bool) -> None:
-        self.call, self.dialog, self.caller = call, dialog, caller
-        self.incoming: ServerTransaction | None = None  # a re-INVITE from here that is under way
-        self.forwarded: ClientTransaction | None = None  # the same, towards the other side
-        self.cancelled = False  # and its CANCEL, which waits for a provisional response
-        self.unacked = -1  # number of the INVITE whose 2xx from us has no ACK yet
-        self.bye_cause = -1  # a release that has to wait for that ACK
-        self.ack: Message | None = None  # the last that we sent here
-        self.checking = False
+    def __init__(self, call: SipCall, dialog: Dialog, is_caller: bool) -> None:
+        self.call, self.dialog, self.is_caller = call, dialog, is_caller
+        self.incoming_reinvite: ServerTransaction | None = None  # the pending re-INVITE from this peer
+        self.forwarded_reinvite: ClientTransaction | None = None  # the same, sent to the other peer
+        self.cancel_pending = False  # its CANCEL waits for a provisional response
+        self.unacknowledged = -1  # sequence number of the INVITE whose 2xx from us has no ACK yet; -1: none
+        self.deferred_bye_cause = -1  # cause of a BYE that has to wait for that ACK; -1: none
+        self.last_ack: Message | None = None  # the last ACK that we sent to this peer
+        self.checking_peer = False  # an OPTIONS to this peer is pending
 
     @property
-    def other(self) -> Side | None:
-        return self.call.hub_side if self.caller else self.call.caller_side
+    def peer_side(self) -> DialogSide | None:
+        """The dialog at the other end of the call."""
+        return self.call.hub_side if self.is_caller else self.call.caller_side
 
 
-class Leg:
-    """An INVITE of ours towards a lab hub."""
+class HubLeg:
+    """One attempt: an INVITE that we send to a lab hub, and the dialogs that its 2xx responses create."""
 
-    def __init__(self, call: Call, attempt: Attempt, hub: HubPlace) -> None:
+    def __init__(self, call: SipCall, attempt: Attempt, hub: HubConfig) -> None:
         self.call, self.attempt, self.hub = call, attempt, hub
         self.transaction: ClientTransaction | None = None
-        self.provisional = self.cancelled = self.counted = False
-        self.sides: dict[str, Side] = {}  # by the hub's tag
+        self.provisional_received = self.cancelled = self.occupies_circuit = False
+        self.sides: dict[str, DialogSide] = {}  # by the To tag of the 2xx: a fork sends several
+
 
+class SipCall:
+    """A call from its INVITE until both dialogs have ended; `key` is its name in the core."""
 
-class Call:
-    def __init__(self, key: str, server: ServerTransaction, tag: str) -> None:
-        self.key, self.server, self.tag = key, server, tag
+    def __init__(self, key: str, invite_transaction: ServerTransaction, local_tag: str) -> None:
+        self.key, self.invite_transaction, self.local_tag = key, invite_transaction, local_tag
         self.caller: SipCaller
-        self.legs: dict[int, Leg] = {}
-        self.caller_side: Side | None = None
-        self.hub_side: Side | None = None
-        self.answer_kind = "application/sdp"
+        self.legs: dict[int, HubLeg] = {}  # by number of the attempt
+        self.caller_side: DialogSide | None = None
+        self.hub_side: DialogSide | None = None
+        self.answer_content_type = "application/sdp"
 
     @property
-    def merged_key(self) -> tuple[str, str, int]:
-        invite = self.server.request
+    def merge_key(self) -> tuple[str, str, int]:
+        """Identifies copies of one INVITE that arrive over different paths (8.2.2.2)."""
+        invite = self.invite_transaction.request
         return invite.call_id, parse_name_addr(invite.get("from")).tag, invite.cseq[0]
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -34,7 +34,7 @@
 from landingdeal.errors import ConfigError
 from landingdeal.lab.answerer import Answerer, Behaviour
 from landingdeal.lab.ports import free_port
-from tests.scenario import PATIENCE_S, ROOT
+from tests.scenario import ROOT, TIMEOUT_S
 
 SHORT_CALLS = Traffic(
     call_count=25, calls_per_s=60.0, answer_ms=(5.0, 20.0), hold_ms=(50.0, 120.0), cancelled_share=0.0
@@ -339,7 +339,7 @@
     command = [sys.executable, "-m", "landingdeal", "capture", "replay", str(capture), "--to",
                f"127.0.0.1:{answerer.port}", "--state", str(state), "--json", "--t1-ms", "100"]  # fmt: skip
     first = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL)
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + TIMEOUT_S
     while len(answerer.seen.invites) < 30 and time.monotonic() < deadline:
         time.sleep(0.01)
     first.send_signal(signal.SIGKILL)
--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -31,16 +31,16 @@
 from landingdeal.clock import now_ms
 from landingdeal.errors import ConfigError
 from landingdeal.lab.ports import free_port
-from landingdeal.sip.capture import Capture
+from landingdeal.sip.capture import CapturePlayback
 from landingdeal.sip.message import Message, encode, request
-from tests.scenario import BODY, PATIENCE_S, play
-from tests.scenario_sip import SipStage
+from tests.scenario import BODY, TIMEOUT_S, play
+from tests.scenario_sip import SipHarness
 
 A, B = ("10.0.0.1", 5060), ("10.0.0.2", 5070)
 
 
 def deadline() -> float:
-    return now_ms() + PATIENCE_S * 1000
+    return now_ms() + TIMEOUT_S * 1000
 
 
 def calls_in(*paths: Path) -> tuple[list[CallRecord], ReadReport]:
@@ -89,7 +89,7 @@
         open_path, RotationLimits(max_file_bytes=40_000, max_file_ms=0.0, max_total_bytes=120_000), compress
     )
     for number in range(400):
-        writer.passed("UDP", A, B, options(number, 1000))
+        writer.message_passed("UDP", A, B, options(number, 1000))
         if number % 20 == 0:
             assert wait_written(writer, deadline())
     writer.end(deadline())
@@ -120,8 +120,8 @@
     writer = CaptureWriter(tmp_path / name)
     messages = generate_traffic(TrafficProfile(call_count=20, transport=transport, padding_bytes=3000))
     for sent in messages:
-        writer.passed(transport, sent.source, sent.target, sent.message)
-    writer.closed(messages[0].source, messages[0].target, reset=True)
+        writer.message_passed(transport, sent.source, sent.target, sent.message)
+    writer.connection_closed(messages[0].source, messages[0].target, reset=True)
     writer.end(deadline())
     calls, report = calls_in(tmp_path / name)
     assert report.complete and report.counts["messages"] == len(messages) and len(calls) == 20
@@ -132,7 +132,7 @@
     writer = CaptureWriter(tmp_path / "x.pcapng")
     invite = request("INVITE", "sip:1@net", ("via", "SIP/2.0/UDP a;branch=z9hG4bK1"), ("call-id", "ab-2"),
                      ("cseq", "1 INVITE"), ("subject", "test-report"))  # fmt: skip
-    writer.passed("UDP", A, B, invite)
+    writer.message_passed("UDP", A, B, invite)
     writer.end(deadline())
     assert b"call ab class test-report attempt 2" in (tmp_path / "x.pcapng").read_bytes()
 
@@ -153,14 +153,14 @@
     released = threading.Event()
 
     def slow_write(data: bytes) -> int:
-        released.wait(PATIENCE_S)
+        released.wait(TIMEOUT_S)
         return len(data)
 
     writer.file = FakeFile(slow_write)  # type: ignore[assignment]
     started_s = time.monotonic()
     for number in range(MAX_QUEUED_MESSAGES + 2000):
-        writer.passed("UDP", A, B, options(number))
-    assert time.monotonic() - started_s < PATIENCE_S / 2 and writer.dropped_messages >= 1000
+        writer.message_passed("UDP", A, B, options(number))
+    assert time.monotonic() - started_s < TIMEOUT_S / 2 and writer.dropped_messages >= 1000
     released.set()
     writer.end(deadline())
     assert writer.written_messages + writer.dropped_messages == MAX_QUEUED_MESSAGES + 2000
@@ -173,13 +173,13 @@
         raise OSError(28, "No space left on device")
 
     writer.file = FakeFile(failing_write)  # type: ignore[assignment]
-    writer.passed("UDP", A, B, options(1))
+    writer.message_passed("UDP", A, B, options(1))
     deadline_ms = deadline()
     while not writer.failed_messages and now_ms() < deadline_ms:
         time.sleep(0.01)
     assert writer.failed_messages == 1
     writer.reopen_at_ms = float("-inf")  # the reopen delay has passed
-    writer.passed("UDP", A, B, options(2))
+    writer.message_passed("UDP", A, B, options(2))
     writer.end(deadline())
     assert [
         captured.message.call_id for captured in read_messages([str(tmp_path / "x.pcap")], ReadReport())
@@ -189,7 +189,7 @@
 def test_unclosed_file_is_readable_to_its_last_record(tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path / "x.pcap")
     for number in range(50):
-        writer.passed("TCP", A, B, options(number))
+        writer.message_passed("TCP", A, B, options(number))
     assert wait_written(writer, deadline())
     deadline_ms = deadline()
     while writer.written_messages < 50 and now_ms() < deadline_ms:
@@ -262,7 +262,7 @@
     ]
     (tmp_path / "in.pcap").write_bytes(encode_capture(to_packets(messages), PcapEncoder()))
     extra = f'[sip.capture]\nread = "{tmp_path}/in.pcap"\nwrite = "{tmp_path}/out.pcapng"\n'
-    stage = SipStage(tmp_path, "udp", extra, port=port)
+    stage = SipHarness(tmp_path, "udp", extra, port=port)
     try:
         play(stage, "hub1 expect INVITE a\nhub1 send 200 a\nhub1 expect ACK a\n")
         play(stage, "hub1 expect BYE a\nhub1 send 200 a of=BYE\n")
@@ -285,7 +285,7 @@
         play(stage, "program stop\nprogram ends 0\n")
     finally:
         log = stage.end()
-    assert "3 messages taken up; passed over: 1 to another port" in log
+    assert "3 messages played; skipped: 1 to another port" in log
     assert "messages written, 0 dropped (queue full), 0 not written (disk error)" in log
 
 
@@ -294,9 +294,9 @@
     for data, reason in ((b"GIF89a" * 9, "neither pcap nor pcapng"), (empty, "no message")):
         (tmp_path / "x").write_bytes(data)
         with pytest.raises(ConfigError, match=reason):
-            Capture([str(tmp_path / "x")], None, ("127.0.0.1", 5060))
+            CapturePlayback([str(tmp_path / "x")], None, ("127.0.0.1", 5060))
     with pytest.raises(OSError, match="No such file"):
-        Capture([str(tmp_path / "none")], None, ("127.0.0.1", 5060))
+        CapturePlayback([str(tmp_path / "none")], None, ("127.0.0.1", 5060))
 
 
 def test_open_connections_are_bounded() -> None:
