--- a/benchmarks/captures.py
+++ b/benchmarks/captures.py
@@ -16,36 +16,36 @@
 import time
 from pathlib import Path
 
-from landingdeal.capture.encode import PcapFile
-from landingdeal.capture.sample import START_NS, Shape, packets, traffic
+from landingdeal.capture.encode import PcapEncoder
+from landingdeal.capture.sample import START_NS, TrafficProfile, generate_traffic, to_packets
 
 TRAFFIC_BY_KIND = {
-    "plain": Shape(calls=2000, per_s=100.0),
-    "fragmented": Shape(calls=2000, per_s=100.0, padding=3000),
-    "tcp": Shape(calls=2000, per_s=100.0, transport="TCP"),
+    "plain": TrafficProfile(call_count=2000, calls_per_s=100.0),
+    "fragmented": TrafficProfile(call_count=2000, calls_per_s=100.0, padding_bytes=3000),
+    "tcp": TrafficProfile(call_count=2000, calls_per_s=100.0, transport="TCP"),
 }
 
 
 def write_capture(path: Path, kind: str, size: int) -> None:
     """Writes blocks of calls, one after another in time, until the file has at least `size` bytes."""
-    pcap, start_ns, written, seed = PcapFile(), START_NS, 0, 1
+    pcap, start_ns, written, seed = PcapEncoder(), START_NS, 0, 1
     with path.open("wb") as file:
-        file.write(pcap.head())
+        file.write(pcap.file_header())
         while written < size:
-            frames = packets(traffic(TRAFFIC_BY_KIND[kind], seed, start_ns))
-            data = b"".join(pcap.record(time_ns, frame) for time_ns, frame in frames)
+            frames = to_packets(generate_traffic(TRAFFIC_BY_KIND[kind], seed, start_ns))
+            data = b"".join(pcap.packet_record(time_ns, frame) for time_ns, frame in frames)
             file.write(data)
             written, start_ns, seed = written + len(data), frames[-1][0] + 10**9, seed + 1
 
 
 def measure_reading(path: str) -> None:
     """Reads one capture and prints counts, time and peak memory as JSON."""
-    from landingdeal.capture.calls import Calls
-    from landingdeal.capture.reader import Reading, read
+    from landingdeal.capture.calls import CallTracker
+    from landingdeal.capture.reader import ReadReport, read_messages
 
-    reading, calls = Reading(), Calls()
+    reading, calls = ReadReport(), CallTracker()
     started_at = time.perf_counter()
-    call_count = sum(1 for seen in read([path], reading) for _ in calls.feed(seen)) + sum(
+    call_count = sum(1 for seen in read_messages([path], reading) for _ in calls.feed(seen)) + sum(
         1 for _ in calls.end()
     )
     duration_s = time.perf_counter() - started_at
@@ -70,9 +70,9 @@
                 path = Path(folder) / kind
                 write_capture(path, "plain" if kind == "zstd" else kind, size * 2**20)
                 if kind == "zstd":
-                    from landingdeal.capture.sink import squeeze
+                    from landingdeal.capture.sink import compress_file
 
-                    squeeze(path, "zstd")
+                    compress_file(path, "zstd")
                     path = path.with_name(path.name + ".zst")
                 command = [sys.executable, "-m", "benchmarks.captures", "--read", str(path)]
                 measured = json.loads(
--- a/landingdeal/capture/plan.py
+++ b/landingdeal/capture/plan.py
@@ -1,7 +1,7 @@
-"""From calls of a capture to a plan of offered load: what is sent, when, and after what. Pure.
+"""Turns the calls of a capture into a plan of offered calls. Pure.
 
-Open loop: each call's first message has an absolute place in the plan, whatever became of the calls before.
-What depends on answers (ACK, BYE, CANCEL) is planned as a span after them.
+The load is open loop: each INVITE has an absolute time in the plan, independent of how earlier calls end.
+CANCEL and BYE are planned as delays after the INVITE and the final answer.
 """
 
 from __future__ import annotations
@@ -10,131 +10,136 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, replace
 
-from landingdeal.capture.calls import CallRecord, Outcome, Side
-from landingdeal.capture.retries import Policy
+from landingdeal.capture.calls import CallRecord, Outcome, Party
+from landingdeal.capture.retries import RetryPolicy
 from landingdeal.sip.message import Message
 
 BLOCK = 4096  # calls whose copies are drawn at once
-HOLD_MOST_MS = 24 * 3600 * 1000.0
+MAX_HOLD_MS = 24 * 3600 * 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Offered:
-    """One call to be offered. Spans in milliseconds; -1 where the capture holds nothing of the kind.
+class PlannedCall:
+    """One call to be offered. Times are -1 if the capture has no such event.
 
-    `at_ms` is counted from the start of the replay. `copy` is 0 for the call as recorded.
+    `at_ms` counts from the start of the replay. `copy_number` is 0 for the call as recorded.
     """
 
-    index: int  # in the order of the plan; what a resumed replay counts by
-    number: int  # of the call in the capture
-    copy: int
+    index: int  # position in the plan; the state file refers to calls by it
+    number: int  # the call's number in the capture
+    copy_number: int
     at_ms: float
     invite: Message
     transport: str
     class_name: str
     patience_ms: float
-    cancel_ms: float  # after the INVITE
-    hold_ms: float  # after the final answer, until this side's BYE; -1: the other side ends it
-    recorded_ms: float  # after the INVITE, the final answer
+    cancel_after_ms: float  # after the INVITE
+    hold_ms: float  # from the final answer to our BYE
+    recorded_ms: float  # from the INVITE to the final answer
     recorded_status: int
     recorded_outcome: Outcome
-    first_try: int = 0
+    first_try: int = 0  # number of the call that this one retries; 0 for a first try
 
     @property
     def name(self) -> str:
-        return f"{self.number}" if not self.copy else f"{self.number}.{self.copy}"
+        """The call's number in the capture, with the copy's number for a copy."""
+        return f"{self.number}" if not self.copy_number else f"{self.number}.{self.copy_number}"
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """How a capture is offered."""
+class ReplayOptions:
+    """How the calls of a capture are offered."""
 
-    speed: float = 1.0  # 2: in half the time; spans within a call stay as they were
-    scale: int = 1  # so many callers for each one recorded
-    spread_ms: float = 500.0  # over which copies start after the recorded one, at exponential distances
+    speed: float = 1.0  # 2 offers the calls in half the time; times within a call are unchanged
+    scale: int = 1  # calls offered per recorded call, the recorded one included
+    spread_ms: float = 500.0  # mean delay of a copy after the recorded call; exponentially distributed
     seed: int = 1
-    retries: Policy = Policy.RECORDED
-    transport: str = ""  # UDP or TCP instead of the recorded one
-    linger_ms: float = 5000.0  # a call that the other side ended in the capture is ended by us so much later
+    retries: RetryPolicy = RetryPolicy.RECORDED
+    transport: str = ""  # UDP or TCP; empty for the recorded transport
+    linger_ms: float = 5000.0  # wait for the called side's BYE, beyond the recorded time, before we send BYE
 
 
-def playable(call: CallRecord) -> str:
+def skip_reason(call: CallRecord) -> str:
     """Why a call can't be offered; empty if it can."""
-    if call.invite is None or call.begun_before:
+    if call.invite is None or call.started_before_capture:
         return "begun before the capture"
     return ""
 
 
-def planned(call: CallRecord, first_ns: int, shape: Shape) -> Offered:
-    """The call as recorded."""
+def planned_call(call: CallRecord, first_ns: int, options: ReplayOptions) -> PlannedCall:
+    """The plan entry for a call as recorded."""
     assert call.invite is not None
     cancel = (call.cancel_ns - call.invite_ns) / 1e6 if call.cancel_ns >= 0 else -1.0
     hold = -1.0
-    if call.outcome is Outcome.STOOD:
-        if call.bye_by is Side.CALLER:
+    if call.outcome is Outcome.ESTABLISHED:
+        if call.released_by is Party.CALLER:
             hold = call.hold_ms
-        elif call.bye_by is Side.CALLED:
-            hold = call.hold_ms + shape.linger_ms  # it is for the other side to end it; else we do
+        elif call.released_by is Party.CALLED:
+            hold = call.hold_ms + options.linger_ms  # the called side should end it; if it doesn't, we do
         else:
-            hold = shape.linger_ms  # its end is not in the capture
-    return Offered(
-        index=0, number=call.number, copy=0, at_ms=(call.invite_ns - first_ns) / 1e6 / shape.speed,
-        invite=call.invite, transport=shape.transport or call.transport, class_name=call.class_name,
-        patience_ms=call.patience_ms, cancel_ms=cancel, hold_ms=min(hold, HOLD_MOST_MS),
+            hold = options.linger_ms  # the capture doesn't contain its end
+    return PlannedCall(
+        index=0, number=call.number, copy_number=0, at_ms=(call.invite_ns - first_ns) / 1e6 / options.speed,
+        invite=call.invite, transport=options.transport or call.transport, class_name=call.class_name,
+        patience_ms=call.patience_ms, cancel_after_ms=cancel, hold_ms=min(hold, MAX_HOLD_MS),
         recorded_ms=call.answer_ms, recorded_status=call.status, recorded_outcome=call.outcome,
         first_try=call.first_try,
     )  # fmt: skip
 
 
-def copies(one: Offered, shape: Shape) -> Iterator[Offered]:
-    """The call and its copies: each with an identity of its own, started a little later."""
-    yield one
-    random_ = random.Random(f"{shape.seed}/{one.number}")
-    for copy in range(1, shape.scale):
-        later = random_.expovariate(1.0) * shape.spread_ms / shape.speed
-        yield replace(one, copy=copy, at_ms=one.at_ms + later)
+def with_copies(call: PlannedCall, options: ReplayOptions) -> Iterator[PlannedCall]:
+    """The call and its copies, each started after a random delay."""
+    yield call
+    rng = random.Random(f"{options.seed}/{call.number}")
+    for copy_number in range(1, options.scale):
+        delay_ms = rng.expovariate(1.0) * options.spread_ms / options.speed
+        yield replace(call, copy_number=copy_number, at_ms=call.at_ms + delay_ms)
 
 
 @dataclass(slots=True)
-class Left:
-    """What was not planned, and why."""
+class SkippedCalls:
+    """Counts the calls left out of the plan, by reason."""
 
     reasons: dict[str, int]
 
-    def add(self, why: str) -> None:
-        self.reasons[why] = self.reasons.get(why, 0) + 1
+    def add(self, reason: str) -> None:
+        self.reasons[reason] = self.reasons.get(reason, 0) + 1
 
 
-def plan(calls: Iterable[CallRecord], shape: Shape, left: Left, first_ns: int | None = None) -> list[Offered]:
-    """All calls in the order in which they are offered, numbered; `left` counts those that can't be."""
-    found: list[CallRecord] = []
+def plan(
+    calls: Iterable[CallRecord], options: ReplayOptions, skipped: SkippedCalls, first_ns: int | None = None
+) -> list[PlannedCall]:
+    """The calls in the order in which they are offered, numbered; `skipped` counts those left out."""
+    accepted: list[CallRecord] = []
     for call in calls:
-        why = playable(call)
-        if not why and call.first_try and shape.retries is not Policy.RECORDED:
-            why = "a try again"
-        if why:
-            left.add(why)
+        reason = skip_reason(call)
+        if not reason and call.first_try and options.retries is not RetryPolicy.RECORDED:
+            reason = "a try again"
+        if reason:
+            skipped.add(reason)
         else:
-            found.append(call)
-    if not found:
+            accepted.append(call)
+    if not accepted:
         return []
-    start = min(call.invite_ns for call in found) if first_ns is None else first_ns
-    made = [one for call in found for one in copies(planned(call, start, shape), shape)]
-    made.sort(key=lambda one: (one.at_ms, one.number, one.copy))
-    return [replace(one, index=index) for index, one in enumerate(made)]
+    start_ns = min(call.invite_ns for call in accepted) if first_ns is None else first_ns
+    planned = [
+        entry for call in accepted for entry in with_copies(planned_call(call, start_ns, options), options)
+    ]
+    planned.sort(key=lambda entry: (entry.at_ms, entry.number, entry.copy_number))
+    return [replace(entry, index=index) for index, entry in enumerate(planned)]
 
 
-def identity(one: Offered, tries: int, seed: int) -> tuple[str, str]:
-    """Call-ID and From tag of one try of a planned call: the same on every run with the same seed."""
-    random_ = random.Random(f"{seed}/{one.number}/{one.copy}/{tries}")
-    return f"{random_.getrandbits(64):016x}", f"r{random_.getrandbits(32):08x}"
+def identity(call: PlannedCall, try_number: int, seed: int) -> tuple[str, str]:
+    """Call-ID and From tag of one try of a planned call; the same for the same seed."""
+    rng = random.Random(f"{seed}/{call.number}/{call.copy_number}/{try_number}")
+    return f"{rng.getrandbits(64):016x}", f"r{rng.getrandbits(32):08x}"
 
 
-def fingerprint(made: Sequence[Offered]) -> str:
-    """What a saved state belongs to: two plans with the same one offer the same calls at the same times."""
+def fingerprint(calls: Sequence[PlannedCall]) -> str:
+    """Identifies a plan in the state file: equal fingerprints mean the same calls at the same times."""
     import xxhash
 
     digest = xxhash.xxh3_128()
-    for one in made:
-        digest.update(f"{one.number}.{one.copy}@{one.at_ms:.3f} {one.invite.call_id}\n".encode())
+    for call in calls:
+        digest.update(f"{call.number}.{call.copy_number}@{call.at_ms:.3f} {call.invite.call_id}\n".encode())
     return digest.hexdigest()
--- a/landingdeal/capture/reader.py
+++ b/landingdeal/capture/reader.py
@@ -1,4 +1,4 @@
-"""Reads captures from end to end: files merged by time, each passed over once, in bounded memory."""
+"""Reads the SIP messages of capture files, merged by time, in one pass and bounded memory."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from contextlib import ExitStack
 from dataclasses import dataclass, field
 
-from landingdeal.capture.formats import NotCapture, records
-from landingdeal.capture.messages import Messages, Seen
-from landingdeal.capture.problems import Kind, Problem, Problems
-from landingdeal.capture.source import Source, open_source
+from landingdeal.capture.formats import NotACapture, read_packets
+from landingdeal.capture.messages import CapturedMessage, MessageExtractor
+from landingdeal.capture.problems import Problem, ProblemKind, Problems
+from landingdeal.capture.source import ByteSource, open_source
 
-LATE_NS = 1_000 * 10**6  # within one file, messages are put in order of time over so much of it
+REORDER_WINDOW_NS = 1_000 * 10**6  # messages of one file are sorted within this span
 
 
 @dataclass
-class Reading:
-    """What one pass found out beside the messages."""
+class ReadReport:
+    """Problems, counters and time span of one pass over captures."""
 
     problems: Problems = field(default_factory=Problems)
     counts: Counter[str] = field(default_factory=Counter)
@@ -27,45 +27,50 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all that the captures hold could be read."""
+        """Whether everything in the captures could be read."""
         return not len(self.problems)
 
 
-def read(paths: Sequence[str], reading: Reading, strict_checksums: bool = False) -> Iterator[Seen]:
-    """The messages of all files in order of time. Raises OSError; what is no capture is a problem."""
+def read_messages(
+    paths: Sequence[str], report: ReadReport, strict_checksums: bool = False
+) -> Iterator[CapturedMessage]:
+    """Yields the messages of all files in time order.
+
+    Raises OSError; a file that is not a capture is added to the problems.
+    """
     with ExitStack() as stack:
-        ways = []
+        streams = []
         for path in paths:
             source = open_source(path)
             stack.callback(source.close)
-            ways.append(_ordered(_one(source, reading, strict_checksums)))
-        if len(ways) == 1:
-            yield from ways[0]
+            streams.append(_sorted_by_time(_read_file(source, report, strict_checksums)))
+        if len(streams) == 1:
+            yield from streams[0]
         else:
-            yield from heapq.merge(*ways, key=lambda seen: seen.time_ns)
+            yield from heapq.merge(*streams, key=lambda captured: captured.time_ns)
 
 
-def _one(source: Source, reading: Reading, strict: bool) -> Iterator[Seen]:
-    messages = Messages(reading.problems, source.name, strict)
+def _read_file(source: ByteSource, report: ReadReport, strict_checksums: bool) -> Iterator[CapturedMessage]:
+    extractor = MessageExtractor(report.problems, source.name, strict_checksums)
     try:
-        yield from messages.run(records(source, reading.problems))
-    except NotCapture as error:
-        reading.problems.add(Problem(Kind.NOT_A_CAPTURE, str(error), 0, 0, source.name))
+        yield from extractor.run(read_packets(source, report.problems))
+    except NotACapture as error:
+        report.problems.add(Problem(ProblemKind.NOT_A_CAPTURE, str(error), 0, 0, source.name))
     finally:
-        reading.counts.update(messages.counts)
-        if messages.counts["packets"]:
-            first = min(reading.first_ns or messages.first_ns, messages.first_ns)
-            reading.first_ns, reading.last_ns = first, max(reading.last_ns, messages.last_ns)
+        report.counts.update(extractor.counts)
+        if extractor.counts["packets"]:
+            earliest_ns = min(report.first_ns or extractor.first_ns, extractor.first_ns)
+            report.first_ns, report.last_ns = earliest_ns, max(report.last_ns, extractor.last_ns)
 
 
-def _ordered(messages: Iterator[Seen]) -> Iterator[Seen]:
-    """In order of time, as far as packets of one file lie at most `LATE_NS` out of it."""
-    held: list[tuple[int, int, Seen]] = []
-    newest, number = 0, 0
-    for seen in messages:
-        newest, number = max(newest, seen.time_ns), number + 1
-        heapq.heappush(held, (seen.time_ns, number, seen))
-        while held and held[0][0] <= newest - LATE_NS:
-            yield heapq.heappop(held)[2]
-    while held:
-        yield heapq.heappop(held)[2]
+def _sorted_by_time(messages: Iterator[CapturedMessage]) -> Iterator[CapturedMessage]:
+    """Sorts messages by time, provided that they are at most `REORDER_WINDOW_NS` out of order."""
+    buffered: list[tuple[int, int, CapturedMessage]] = []
+    latest_ns, sequence = 0, 0
+    for captured in messages:
+        latest_ns, sequence = max(latest_ns, captured.time_ns), sequence + 1
+        heapq.heappush(buffered, (captured.time_ns, sequence, captured))
+        while buffered and buffered[0][0] <= latest_ns - REORDER_WINDOW_NS:
+            yield heapq.heappop(buffered)[2]
+    while buffered:
+        yield heapq.heappop(buffered)[2]
--- a/landingdeal/commands/capture_files.py
+++ b/landingdeal/commands/capture_files.py
@@ -1,4 +1,4 @@
-"""`landingdeal capture filter|merge|scrub|repair|compare`: captures made from captures."""
+"""`landingdeal capture filter|merge|scrub|repair|compare`: edits and compares captures."""
 
 from __future__ import annotations
 
@@ -11,124 +11,133 @@
 
 import click
 
-from landingdeal.capture.encode import CaptureFile, PcapFile, PcapngFile
-from landingdeal.capture.messages import Seen
-from landingdeal.capture.reader import Reading, read
-from landingdeal.commands.capture import FILES, JSON, calls_of, capture, code_of
-from landingdeal.commands.main import CAN_NOT, FOUND
+from landingdeal.capture.encode import CaptureEncoder, PcapEncoder, PcapngEncoder
+from landingdeal.capture.messages import CapturedMessage
+from landingdeal.capture.reader import ReadReport, read_messages
+from landingdeal.commands.capture import FILES_ARGUMENT, JSON_OPTION, capture, exit_code, read_calls
+from landingdeal.commands.main import EXIT_CANNOT_RUN, EXIT_PROBLEMS
 
-OUT = click.argument("out", type=click.Path(dir_okay=False, path_type=Path))
-IN = click.argument("file", type=click.Path(path_type=Path))
+OUT_ARGUMENT = click.argument("out", type=click.Path(dir_okay=False, path_type=Path))
+FILE_ARGUMENT = click.argument("file", type=click.Path(path_type=Path))
 
 
-def form_of(path: Path) -> CaptureFile:
-    return PcapngFile() if ".pcapng" in path.name else PcapFile()
+def file_format_of(path: Path) -> CaptureEncoder:
+    """pcapng if the file name contains `.pcapng`, else pcap."""
+    return PcapngEncoder() if ".pcapng" in path.name else PcapEncoder()
 
 
-def write(out: Path, messages: Iterable[Seen]) -> None:
-    """Written beside and renamed: a command that is stopped leaves no half of a file."""
-    from landingdeal.capture.rewrite import written
+def write_capture(out: Path, messages: Iterable[CapturedMessage]) -> None:
+    """Writes to a temporary file and renames it, so that an interrupted command leaves no partial file."""
+    from landingdeal.capture.rewrite import encode_messages
 
-    part = out.with_name(out.name + ".part")
+    part_path = out.with_name(out.name + ".part")
     try:
-        with part.open("wb") as file:
-            for piece in written(messages, form_of(out)):
+        with part_path.open("wb") as file:
+            for piece in encode_messages(messages, file_format_of(out)):
                 file.write(piece)
-        os.replace(part, out)
+        os.replace(part_path, out)
     finally:
         with contextlib.suppress(OSError):
-            part.unlink(missing_ok=True)
+            part_path.unlink(missing_ok=True)
 
 
 @capture.command("filter")
-@IN
-@OUT
-@click.option("--where", required=True, help="As: class == voice and status >= 500")
+@FILE_ARGUMENT
+@OUT_ARGUMENT
+@click.option("--where", required=True, help="The filter, for example: class == voice and status >= 500")
 @click.pass_context
 def filter_(ctx: click.Context, file: Path, out: Path, where: str) -> None:
-    """Write the calls that a filter lets through to another capture."""
-    from landingdeal.capture.language import parse
+    """Write the calls that match a filter to another capture."""
+    from landingdeal.capture.language import parse_filter
 
-    test, reading = parse(where), Reading()
+    predicate, reading = parse_filter(where), ReadReport()
     spans: dict[str, list[tuple[int, int]]] = {}
-    for call in calls_of((str(file),), reading, False):
-        if test(call):
-            last = max([call.start_ns, call.over_ns, *(step.time_ns for step in call.steps)])
-            spans.setdefault(call.call_id, []).append((call.start_ns, last))
-
-    def kept() -> Iterator[Seen]:
-        for seen in read([str(file)], Reading()):
-            if any(low <= seen.time_ns <= high for low, high in spans.get(seen.message.call_id, ())):
+    for call in read_calls((str(file),), reading, False):
+        if predicate(call):
+            last_ns = max([call.start_ns, call.bye_response_ns, *(step.time_ns for step in call.ladder)])
+            spans.setdefault(call.call_id, []).append((call.start_ns, last_ns))
+
+    def selected() -> Iterator[CapturedMessage]:
+        for seen in read_messages([str(file)], ReadReport()):
+            if any(
+                start_ns <= seen.time_ns <= end_ns for start_ns, end_ns in spans.get(seen.message.call_id, ())
+            ):
                 yield seen
 
-    write(out, kept())
+    write_capture(out, selected())
     click.echo(f"{sum(map(len, spans.values()))} calls to {out}")
-    ctx.exit(code_of(reading))
+    ctx.exit(exit_code(reading))
 
 
 @capture.command()
-@FILES
-@OUT
+@FILES_ARGUMENT
+@OUT_ARGUMENT
 @click.pass_context
 def merge(ctx: click.Context, files: tuple[str, ...], out: Path) -> None:
-    """Write the messages of several captures, in order of time, to one."""
-    reading = Reading()
-    write(out, read(files, reading))
+    """Merge the messages of several captures, in order of time, into one."""
+    reading = ReadReport()
+    write_capture(out, read_messages(files, reading))
     click.echo(f"{reading.counts['messages']} messages of {len(files)} captures to {out}")
-    ctx.exit(code_of(reading))
+    ctx.exit(exit_code(reading))
 
 
 @capture.command()
-@IN
-@OUT
-@click.option("--key", envvar="LANDINGDEAL_SCRUB_KEY", required=True, help="The same key, the same names.")
+@FILE_ARGUMENT
+@OUT_ARGUMENT
+@click.option(
+    "--key", envvar="LANDINGDEAL_SCRUB_KEY", required=True, help="The same key gives the same replacements."
+)
 @click.pass_context
 def scrub(ctx: click.Context, file: Path, out: Path, key: str) -> None:
-    """Replace names, numbers and addresses, consistently; what is not SIP is left out."""
+    """Replace names, numbers and addresses consistently; packets that are not SIP are left out."""
     from landingdeal.capture.rewrite import Scrubber
 
-    scrubber, reading = Scrubber(key), Reading()
-    write(out, map(scrubber.seen, read([str(file)], reading)))
+    scrubber, reading = Scrubber(key), ReadReport()
+    write_capture(out, map(scrubber.scrub_captured, read_messages([str(file)], reading)))
     click.echo(f"{reading.counts['messages']} messages to {out}")
-    ctx.exit(code_of(reading))
+    ctx.exit(exit_code(reading))
 
 
 @capture.command()
-@IN
-@OUT
+@FILE_ARGUMENT
+@OUT_ARGUMENT
 def repair(file: Path, out: Path) -> None:
-    """Cut a damaged tail off: all that is whole is kept."""
-    from landingdeal.capture.formats import NotCapture
-    from landingdeal.capture.repair import repair as cut
+    """Remove a damaged tail: all complete packets are kept."""
+    from landingdeal.capture.formats import NotACapture
+    from landingdeal.capture.repair import repair as repair_file
 
     try:
-        done = cut(file, out)
-    except NotCapture as error:
+        repaired = repair_file(file, out)
+    except NotACapture as error:
         raise click.ClickException(f"{file}: {error}") from None
-    what = f"cut {done.cut} bytes: {done.why}" if done.why else "nothing to cut"
-    click.echo(f"{out}: {done.packets} packets, {done.kept} bytes; {what}")
+    result = f"cut {repaired.removed_bytes} bytes: {repaired.reason}" if repaired.reason else "nothing to cut"
+    click.echo(f"{out}: {repaired.packet_count} packets, {repaired.kept_bytes} bytes; {result}")
 
 
 @capture.command()
 @click.argument("a", type=click.Path(path_type=Path))
 @click.argument("b", type=click.Path(path_type=Path))
-@JSON
+@JSON_OPTION
 @click.pass_context
 def compare(ctx: click.Context, a: Path, b: Path, as_json: bool) -> None:
-    """Compare two captures call by call. Exit code 1 where calls are missing or ended otherwise."""
-    from landingdeal.capture.compare import compare as compared
-    from landingdeal.capture.compare import shifts
+    """Compare two captures call by call. Exit code 1 if calls are missing or ended differently."""
+    from landingdeal.capture.compare import compare as compare_calls
+    from landingdeal.capture.compare import time_shifts_ms
     from landingdeal.capture.results import quantile
 
-    readings = Reading(), Reading()
-    made = compared(calls_of((str(a),), readings[0], False), calls_of((str(b),), readings[1], False))
-    later: dict[str, list[float]] = {name: values for name, values in shifts(made).items() if values}
-    told: dict[str, Any] = {
-        "both": len(made.pairs), "only_a": len(made.only_a), "only_b": len(made.only_b),
+    readings = ReadReport(), ReadReport()
+    comparison = compare_calls(
+        read_calls((str(a),), readings[0], False), read_calls((str(b),), readings[1], False)
+    )
+    shifts: dict[str, list[float]] = {
+        name: values for name, values in time_shifts_ms(comparison).items() if values
+    }
+    output: dict[str, Any] = {
+        "both": len(comparison.pairs), "only_a": len(comparison.only_a), "only_b": len(comparison.only_b),
         "differing": [
-            {"a": one.call_id, "b": other.call_id, "a_status": one.status, "b_status": other.status,
-             "a_outcome": one.outcome.value, "b_outcome": other.outcome.value}
-            for one, other in made.differing
+            {"a": call_a.call_id, "b": call_b.call_id, "a_status": call_a.status, "b_status": call_b.status,
+             "a_outcome": call_a.outcome.value, "b_outcome": call_b.outcome.value}
+            for call_a, call_b in comparison.differing
         ],
         "later": {
             name: {
@@ -136,20 +145,20 @@
                 "p99": round(quantile(values, 0.99), 3),
                 "most": round(max(values + [-value for value in values]), 3),
             }
-            for name, values in later.items()
+            for name, values in shifts.items()
         },
     }  # fmt: skip
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(output))
     else:
         click.echo(
-            f"{told['both']} calls in both, {told['only_a']} only in {a}, {told['only_b']} only in {b}"
+            f"{output['both']} calls in both, {output['only_a']} only in {a}, {output['only_b']} only in {b}"
         )
-        for row in told["differing"]:
+        for row in output["differing"]:
             click.echo(f"{row['a']} {row['a_outcome']} {row['a_status']} -> "
                        f"{row['b']} {row['b_outcome']} {row['b_status']}")  # fmt: skip
-        for name, values in told["later"].items():
+        for name, values in output["later"].items():
             click.echo(f"{name:10} later by p50 {values['p50']}, p99 {values['p99']}, most {values['most']}")
-    if any(code_of(reading) == CAN_NOT for reading in readings):
-        ctx.exit(CAN_NOT)
-    ctx.exit(0 if made.equal else FOUND)
+    if any(exit_code(reading) == EXIT_CANNOT_RUN for reading in readings):
+        ctx.exit(EXIT_CANNOT_RUN)
+    ctx.exit(0 if comparison.equal else EXIT_PROBLEMS)
--- a/landingdeal/commands/config.py
+++ b/landingdeal/commands/config.py
@@ -7,12 +7,12 @@
 
 import click
 
-from landingdeal.commands.main import FOUND
+from landingdeal.commands.main import EXIT_PROBLEMS
 from landingdeal.errors import ConfigError
 
 
-def problem_of(path: Path) -> str:
-    """What is wrong with a file; empty if it can be used. JSON is the platform's, all else the operator's."""
+def file_problem(path: Path) -> str:
+    """Why a file can't be used, else empty. JSON is a platform configuration, TOML an operator's file."""
     text = path.read_text(encoding="utf-8")
     try:
         if text.lstrip().startswith("{"):
@@ -20,9 +20,9 @@
 
             read_config(text)
         else:
-            from landingdeal.operator import read_operator
+            from landingdeal.operator_config import parse_operator_config
 
-            read_operator(text)
+            parse_operator_config(text)
     except ConfigError as error:
         return str(error)
     return ""
@@ -38,11 +38,13 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
 @click.pass_context
 def check(ctx: click.Context, files: tuple[Path, ...], as_json: bool) -> None:
-    """Check operator's files (TOML) and platform configurations (JSON); code 1 where one can't be used."""
-    found = {str(path): problem_of(path) for path in files}
+    """Check operator's files (TOML) and platform configurations (JSON). Exit code 1 if one can't be used."""
+    problems = {str(path): file_problem(path) for path in files}
     if as_json:
-        click.echo(json.dumps({"files": [{"file": name, "problem": why} for name, why in found.items()]}))
+        click.echo(
+            json.dumps({"files": [{"file": name, "problem": problem} for name, problem in problems.items()]})
+        )
     else:
-        for name, why in found.items():
-            click.echo(f"{name}: {why or 'can be used'}")
-    ctx.exit(FOUND if any(found.values()) else 0)
+        for name, problem in problems.items():
+            click.echo(f"{name}: {problem or 'can be used'}")
+    ctx.exit(EXIT_PROBLEMS if any(problems.values()) else 0)
--- a/landingdeal/lab/demo.py
+++ b/landingdeal/lab/demo.py
@@ -15,15 +15,15 @@
 from pathlib import Path
 from typing import Any
 
-from landingdeal.capture.calls import Calls
-from landingdeal.capture.encode import PcapngFile
-from landingdeal.capture.plan import Left, Shape, plan
-from landingdeal.capture.player import Result
-from landingdeal.capture.reader import Reading, read
-from landingdeal.capture.replay import Replay, Report
+from landingdeal.capture.calls import CallTracker
+from landingdeal.capture.encode import PcapngEncoder
+from landingdeal.capture.plan import ReplayOptions, SkippedCalls, plan
+from landingdeal.capture.player import ReplayResult
+from landingdeal.capture.reader import ReadReport, read_messages
+from landingdeal.capture.replay import Replay, ReplayReport
 from landingdeal.capture.results import last_tries, rows
-from landingdeal.capture.sample import Shape as Traffic
-from landingdeal.capture.sample import capture_file, packets, traffic
+from landingdeal.capture.sample import TrafficProfile as Traffic
+from landingdeal.capture.sample import encode_capture, generate_traffic, to_packets
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
 from landingdeal.lab.answerer import StubBehaviour, StubUserAgent
@@ -140,14 +140,14 @@
 class DemonstrationResult:
     """The report of the replay, the number of planned calls and a table row per call."""
 
-    report: Report
+    report: ReplayReport
     planned: int
     table: list[dict[str, Any]]
 
     @property
-    def unanswered(self) -> list[Result]:
+    def unanswered(self) -> list[ReplayResult]:
         """The last tries that did not get exactly one final answer."""
-        return [result for result in last_tries(self.report) if result.finals != 1]
+        return [result for result in last_tries(self.report) if result.final_answers != 1]
 
 
 def demonstrate(calls: int = 40, per_s: float = 20.0, seed: int = 1) -> DemonstrationResult:
@@ -160,15 +160,17 @@
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             capture = folder / "sample.pcapng"
-            sample_calls = traffic(Traffic(calls, per_s, hold_ms=(300.0, 1500.0)), seed)
-            capture.write_bytes(capture_file(packets(sample_calls), PcapngFile()))
-            call_table = Calls()
+            sample_calls = generate_traffic(Traffic(calls, per_s, hold_ms=(300.0, 1500.0)), seed)
+            capture.write_bytes(encode_capture(to_packets(sample_calls), PcapngEncoder()))
+            call_table = CallTracker()
             recorded_calls = [
-                call for seen in read([str(capture)], Reading()) for call in call_table.feed(seen)
+                call for seen in read_messages([str(capture)], ReadReport()) for call in call_table.feed(seen)
             ]
-            planned = plan([*recorded_calls, *call_table.end()], Shape(linger_ms=0.0), Left({}))
+            planned = plan(
+                [*recorded_calls, *call_table.end()], ReplayOptions(linger_ms=0.0), SkippedCalls({})
+            )
             with running_program(folder, (hubs[0].port, hubs[1].port)) as port:
-                report = Replay(planned, ("127.0.0.1", port), Shape()).run()
+                report = Replay(planned, ("127.0.0.1", port), ReplayOptions()).run()
     finally:
         for hub in hubs:
             hub.end()
--- a/landingdeal/sip/call.py
+++ b/landingdeal/sip/call.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from landingdeal.core.events import Attempt, Why
+from landingdeal.core.events import Attempt, RefusalReason
 from landingdeal.sip.address import parse_name_addr
 from landingdeal.sip.dialog import Dialog
 from landingdeal.sip.loop import EventLoop
@@ -20,7 +20,7 @@
 
     def answer_call(self, call: SipCall, description: bytes) -> None: ...
 
-    def refuse_call(self, call: SipCall, retry_after_ms: float, reason: Why) -> None: ...
+    def refuse_call(self, call: SipCall, retry_after_ms: float, reason: RefusalReason) -> None: ...
 
     def release_caller(self, call: SipCall, cause: int) -> None: ...
 
@@ -68,7 +68,7 @@
     def answer(self, description: bytes) -> None:
         self.operations.event_loop.post(lambda: self.operations.answer_call(self.call, description))
 
-    def refuse(self, retry_after_ms: float, reason: Why) -> None:
+    def refuse(self, retry_after_ms: float, reason: RefusalReason) -> None:
         self.operations.event_loop.post(
             lambda: self.operations.refuse_call(self.call, retry_after_ms, reason)
         )
--- a/landingdeal/sip/capture.py
+++ b/landingdeal/sip/capture.py
@@ -8,11 +8,11 @@
 import time
 from collections.abc import Callable, Iterator, Sequence
 
-from landingdeal.capture.messages import Seen
-from landingdeal.capture.reader import Reading, read
+from landingdeal.capture.messages import CapturedMessage
+from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
-from landingdeal.log import say
+from landingdeal.log import log_text
 from landingdeal.sip.message import Message
 from landingdeal.sip.transport import ReceivedMessage, Tap
 
@@ -40,11 +40,11 @@
     """Plays the recorded messages to our port. Raises ConfigError or OSError if there is nothing to play."""
 
     def __init__(self, paths: Sequence[str], tap: Tap | None, listen: tuple[str, int]) -> None:
-        self.reading, self.tap, self.port = Reading(), tap, listen[1]
-        self.messages = read(paths, self.reading)
+        self.reading, self.tap, self.port = ReadReport(), tap, listen[1]
+        self.messages = read_messages(paths, self.reading)
         self.first_message = next(self.messages, None)
         if self.first_message is None:
-            kept = self.reading.problems.kept
+            kept = self.reading.problems.listed
             raise ConfigError(f"nothing to play: {kept[0].line() if kept else 'no message in it'}")
 
     def play(self, on_received: Callable[[ReceivedMessage], None]) -> None:
@@ -79,9 +79,9 @@
         skipped = (
             ", ".join(f"{count} {reason}" for reason, count in sorted(skipped_counts.items())) or "nothing"
         )
-        say(f"capture: {played} messages played; skipped: {skipped}")
+        log_text(f"capture: {played} messages played; skipped: {skipped}")
 
-    def _all_messages(self) -> Iterator[Seen]:
+    def _all_messages(self) -> Iterator[CapturedMessage]:
         if self.first_message is not None:
             yield self.first_message
         yield from self.messages
--- a/tests/rig/front.py
+++ b/tests/rig/front.py
@@ -15,7 +15,7 @@
 from landingdeal.lab.ports import free_port
 from landingdeal.net.callers import CallerConnections
 from landingdeal.sip.message import encode, request
-from tests.scenario import BODY, PATIENCE_S, SETTINGS
+from tests.scenario import BODY, SETTINGS, TIMEOUT_S
 
 
 class StepGate:
@@ -24,15 +24,15 @@
     def __init__(self, step: str) -> None:
         self.step, self.reached, self.released = step, threading.Event(), threading.Event()
         self.first_only = threading.Lock()
-        steps.hold = self._pause
+        steps.hook = self._pause
 
     def _pause(self, step: str) -> None:
         if step == self.step and self.first_only.acquire(blocking=False):
             self.reached.set()
-            self.released.wait(PATIENCE_S)
+            self.released.wait(TIMEOUT_S)
 
     def wait_until_reached(self) -> None:
-        assert self.reached.wait(PATIENCE_S), f"no thread reaches step {self.step}"
+        assert self.reached.wait(TIMEOUT_S), f"no thread reaches step {self.step}"
 
 
 class CallerHarness:
@@ -44,7 +44,7 @@
         self.callers = CallerConnections(settings, self.inbox, "127.0.0.1", free_port(), 1024, self.life)
         self.address = self.callers.acceptor.listener.getsockname()
         self.sock = socket.create_connection(self.address)
-        self.sock.settimeout(PATIENCE_S)
+        self.sock.settimeout(TIMEOUT_S)
 
     def send_set_up(self, call_id: str = "a") -> None:
         self.sock.sendall(encode(request(
@@ -54,7 +54,7 @@
         )))  # fmt: skip
 
     def next_offer(self) -> Offer:
-        deadline_ms = now_ms() + PATIENCE_S * 1000
+        deadline_ms = now_ms() + TIMEOUT_S * 1000
         (event,) = list(self.inbox.take(deadline_ms))
         assert isinstance(event, Offer), event
         return event
@@ -73,6 +73,6 @@
         return self.sock.recv(65536)
 
     def end(self) -> None:
-        self.life.stop(0.0)
-        self.life.core_gone(0.0)
+        self.life.request_stop(0.0)
+        self.life.core_stopped(0.0)
         self.sock.close()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -31,7 +31,7 @@
     SetUp,
     TimerFired,
 )
-from tests.helpers import SETTINGS, Stage, exchange, line
+from tests.helpers import SETTINGS, SoftswitchHarness, exchange, list_entry
 
 
 @dataclass
@@ -65,7 +65,7 @@
             classes_with_pools = tuple(replace(c, pools=tuple(range(remote_count + 1))) for c in base.classes)
             base = replace(base, mesh=False, own_number=-1, classes=classes_with_pools)
         self.uses_pools = uses_pools
-        self.stage = Stage(base, remote_count, seed)
+        self.stage = SoftswitchHarness(base, remote_count, seed)
         self.calls: dict[int, ExpectedCall] = {}
         self.leaving: set[bytes] = set()
         self.sent_while_cold: dict[bytes, list[float]] = {}
@@ -74,7 +74,7 @@
         self.check_actions()
 
     def check_actions(self) -> None:
-        for now, action in self.stage.done[self.checked :]:
+        for now, action in self.stage.recorded_actions[self.checked :]:
             if isinstance(action, SetTimer):
                 self.timers.append((action.due_ms, action.token))
             elif isinstance(action, SetUp):
@@ -103,7 +103,7 @@
                 assert not call.concluded, "two final answers"
                 assert call.pending_exchange is None and now <= call.answer_by + 20
                 call.concluded = True
-        self.checked = len(self.stage.done)
+        self.checked = len(self.stage.recorded_actions)
 
     def step(self) -> None:
         rng, stage = self.rng, self.stage
@@ -151,7 +151,7 @@
     def stall_two_seconds(self) -> None:
         """Two seconds pass without an event; callers whose budget ends meanwhile abandon their calls."""
         self.stage.now += 2000.0
-        self.stage.wakes.clear()
+        self.stage.timer_times.clear()
         for call_id, call in self.calls.items():
             if not call.concluded and call.answer_by < self.stage.now:
                 call.concluded = True
@@ -184,7 +184,7 @@
             self.sent_while_cold[exchange(number)] = []
         else:
             self.leaving.add(exchange(number))
-        self.stage.give(ExchangeList(ListKind.CHANGES, (line(number, health, came_up),)))
+        self.stage.give(ExchangeList(ListKind.CHANGES, (list_entry(number, health, came_up),)))
 
     def end_attempt(self, call_id: int, call: ExpectedCall, timed_out: bool) -> None:
         rng, stage, exchange_id, attempt = self.rng, self.stage, call.pending_exchange, call.attempts - 1
@@ -226,6 +226,6 @@
         scenario = RandomScenario(11, False)
         for _ in range(300):
             scenario.step()
-        return list(scenario.stage.done)
+        return list(scenario.stage.recorded_actions)
 
     assert actions_of_a_run() == actions_of_a_run()
