--- a/landingdeal/core/broker.py
+++ b/landingdeal/core/broker.py
@@ -1,4 +1,8 @@
-"""The core: one thread that owns the decision module, an inbox and a timer heap. It touches no socket."""
+"""The core: one thread that owns the decision module, an inbox and a timer heap.
+
+It turns events of the fronts into events of the decision module and carries out the module's actions. It does
+no I/O itself.
+"""
 
 from __future__ import annotations
 
@@ -33,497 +37,532 @@
     TimerFired,
 )
 from landingdeal.clock import now_ms, seconds_until
+from landingdeal.core.calls import EstablishedCall, PendingCall
 from landingdeal.core.contracts import Contracts
 from landingdeal.core.events import (
-    Arrival,
     Attempt,
-    Budgets,
+    AttemptEstablished,
+    AttemptFailed,
     CallerReleased,
-    Ended,
-    GroupState,
-    HubDied,
+    CallerStreamBroken,
+    ContractsChanged,
+    CoreEvent,
+    HubClient,
+    HubFailed,
+    HubListChanged,
     HubReleased,
-    HubSide,
-    News,
+    LoadReported,
     Offer,
-    Probed,
-    Stood,
-    Stop,
-    Unreadable,
-    Why,
-    Withdrawn,
+    ProbeCompleted,
+    RefusalReason,
+    SetUpCancelled,
+    StopRequested,
 )
-from landingdeal.core.exchange import Exchange, Standing
 from landingdeal.core.guard import Guard
 from landingdeal.core.lifecycle import Lifecycle
-from landingdeal.log import record, say
-
-INBOX_MOST = 4096  # set-ups above this are refused by the front at once
-OPEN_MOST = 4000  # calls waiting for an answer
-STANDING_MOST = 20000  # above this the one that has stood longest is no longer followed
-SENT_AGAIN_MS = 1500.0  # after its answer, a set-up may come again whose connection has ended
-SECOND_ANSWER_MS = 50.0  # a lab hub's answer may come twice: until then none is out there that could be meant
-REFUSED_MOST = 4096  # calls that ended without standing and are still known
-BATCH_MOST = 256
-LAST_MOMENT_MS = 30.0  # before a call's deadline the core answers by itself if the module has not
-RELEASE_MARGIN_MS = 10.0  # a release counts from where it arrives, which is later than where it was decided
-PROBE_WAIT_MS = 250.0  # a probe without an answer by then has failed
-CAUSE_CUT = 41  # the call was cut; 16 is an ordinary end
-UNANSWERED = (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE)  # no lab hub said so
-WHY = {RejectionReason.LINES_BUSY: Why.BUSY}
-
-LOOK_MS = 20.0  # while the program is ending
+from landingdeal.log import log_event, log_text
+
+MAX_INBOX_SIZE = 4096  # events; above this, set-ups are refused at once
+MAX_PENDING_CALLS = 4000  # further set-ups are refused
+MAX_ESTABLISHED_CALLS = 20000  # above this the oldest established call is no longer tracked
+REPEAT_WINDOW_MS = 1500.0  # after the answer, for a caller that lost its connection and repeats the set-up
+# A lab hub may repeat an answer: for so long no new attempt goes to it that the repeat could be taken for
+DUPLICATE_ANSWER_MS = 50.0
+MAX_ENDED_CALLS = 4096  # calls that ended without being established and are still remembered
+MAX_BATCH_SIZE = 256  # events handled in one turn
+DEADLINE_MARGIN_MS = 30.0  # so long before its deadline the core refuses a call that has no answer
+RELEASE_MARGIN_MS = 10.0  # the release time counts from its arrival at the hub, later than the decision here
+PROBE_TIMEOUT_MS = 250.0
+CAUSE_CALL_CUT = 41  # Q.850 temporary failure: the call was cut; 16 is normal clearing
+# Outcomes without an answer of the lab hub
+NOT_ANSWERED = (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE)
+REFUSAL_REASONS = {RejectionReason.LINES_BUSY: RefusalReason.BUSY}
+
+STOP_POLL_MS = 20.0  # between checks of the lifecycle while the program is stopping
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """An attempt that is decided and goes out a little later."""
+class DelayedAttempt:
+    """A timer event: the attempt is decided and is sent when the timer fires."""
 
     attempt: Attempt
 
 
-Timer = Attempt | Held | TimerFired | str
+# An Attempt times out, a call id (str) reaches its deadline, a TimerFired is for the decision module
+Timer = Attempt | DelayedAttempt | TimerFired | str
 
 
 class Inbox:
-    """The only way into the core. Set-ups are turned away when it is full; other news waits for room."""
+    """The event queue of the core. When it is full, set-ups are refused and other events block the sender."""
 
     def __init__(self) -> None:
-        self.queue: queue.Queue[Arrival] = queue.Queue(INBOX_MOST * 2)
-        self.own: deque[Arrival] = deque()
+        self.queue: queue.Queue[CoreEvent] = queue.Queue(MAX_INBOX_SIZE * 2)
+        self.core_events: deque[CoreEvent] = deque()
         self.closed = False
 
     def offer(self, offer: Offer) -> bool:
-        """False: the inbox is full, or the core has ended; the caller has to be refused where it stands."""
-        if self.closed or self.queue.qsize() >= INBOX_MOST:
+        """Queues a set-up. False if the inbox is full or the core has ended: the front must refuse it."""
+        if self.closed or self.queue.qsize() >= MAX_INBOX_SIZE:
             return False
         self.queue.put(offer)
         return True
 
-    def tell(self, event: Arrival) -> None:
+    def put(self, event: CoreEvent) -> None:
+        """Queues an event; blocks while the queue is full."""
         self.queue.put(event)
 
-    def soon(self, event: Arrival) -> None:
-        """For the core's own thread, which must not wait for room: it alone makes room."""
-        self.own.append(event)
+    def put_from_core(self, event: CoreEvent) -> None:
+        """Queues an event from the core's own thread, which must not block: it alone empties the queue."""
+        self.core_events.append(event)
 
     def size(self) -> int:
-        return len(self.own) + self.queue.qsize()
-
-    def take(self, until_ms: float) -> Iterator[Arrival]:
-        """Waits until something comes or `until_ms`; then all that is there, up to a batch."""
-        waits = not self.own
-        while self.own:
-            yield self.own.popleft()
+        """The number of queued events."""
+        return len(self.core_events) + self.queue.qsize()
+
+    def take(self, until_ms: float) -> Iterator[CoreEvent]:
+        """Waits for an event, at most until `until_ms`; then yields all queued events, up to a batch."""
+        must_wait = not self.core_events
+        while self.core_events:
+            yield self.core_events.popleft()
         try:
-            if waits:
+            if must_wait:
                 yield self.queue.get(timeout=seconds_until(until_ms))
-            for _ in range(BATCH_MOST):
+            for _ in range(MAX_BATCH_SIZE):
                 yield self.queue.get_nowait()
         except queue.Empty:
             return
 
 
 class Broker:
-    """Events in, actions out. `released` hands releases of calls that are not known here to the callers."""
+    """Owns all calls and the decision module.
+
+    `release_unknown` passes releases of calls that are not known here on to the callers.
+    """
 
     def __init__(
         self,
         settings: Settings,
         seed: int,
         inbox: Inbox,
-        hubs: HubSide,
-        released: Callable[[str, int], None],
+        hubs: HubClient,
+        release_unknown: Callable[[str, int], None],
         contracts: Contracts | None = None,
-        life: Lifecycle | None = None,
+        lifecycle: Lifecycle | None = None,
     ) -> None:
         settings = replace(settings, release_wait_ms=settings.release_wait_ms + RELEASE_MARGIN_MS)
-        self.set = settings
+        self.settings = settings
         self.inbox = inbox
         self.hubs = hubs
-        self.released = released
+        self.release_unknown = release_unknown
         self.contracts = contracts or Contracts(())
         self.switch = Softswitch(settings, seed)
         self.guard = Guard(settings)
-        self.kinds = {kind.name: index for index, kind in enumerate(settings.classes)}
+        self.class_indexes = {call_class.name: index for index, call_class in enumerate(settings.classes)}
         self.numbers = itertools.count(1)
-        self.listed: set[int] = set()  # numbers that a lab hub has or had
-        self.open: dict[str, Exchange] = {}
-        self.by_number: dict[int, Exchange] = {}
-        self.standing: dict[str, Standing] = {}
-        # the last calls that ended without standing, and until when none may be sent under their ids
-        self.refused: OrderedDict[str, float] = OrderedDict()
+        self.known_hub_numbers: set[int] = set()  # each number that a lab hub has or had
+        self.pending: dict[str, PendingCall] = {}
+        self.pending_by_number: dict[int, PendingCall] = {}
+        self.established: dict[str, EstablishedCall] = {}
+        # calls that recently ended without being established: until when no set-up may reuse their ids
+        self.ended: OrderedDict[str, float] = OrderedDict()
         self.timers: list[tuple[float, int, Timer]] = []
-        self.order = itertools.count()
+        self.timer_order = itertools.count()
         self.now = now_ms()
-        self.life = life or Lifecycle()
-        room = [n for n, f in enumerate(settings.load_fields) if f is LoadField.CAPACITY_PER_S]
-        self.room_at = room[0] if room else -1
+        self.lifecycle = lifecycle or Lifecycle()
+        capacity_indexes = [n for n, f in enumerate(settings.load_fields) if f is LoadField.CAPACITY_PER_S]
+        self.capacity_index = capacity_indexes[0] if capacity_indexes else -1
 
     # --- the loop ---
 
     def run(self) -> None:
-        while self.life.core_runs:
-            self.turn()
-
-    def turn(self) -> None:
-        """One batch: all of it happens at one time, as the decision module expects."""
-        due = self.timers[0][0] if self.timers else now_ms() + 1000
-        if not self.life.well:
-            due = min(due, now_ms() + LOOK_MS)
-        batch = list(self.inbox.take(due))
+        """Handles events until the core may end."""
+        while self.lifecycle.core_running:
+            self.run_once()
+
+    def run_once(self) -> None:
+        """Handles a batch of events, then the due timers, all at one time as the decision module expects."""
+        due_ms = self.timers[0][0] if self.timers else now_ms() + 1000
+        if not self.lifecycle.healthy:
+            due_ms = min(due_ms, now_ms() + STOP_POLL_MS)
+        batch = list(self.inbox.take(due_ms))
         self.now = now_ms()
         for event in batch:
-            self._safely(event)
+            self._handle_safely(event)
         while self.timers and self.timers[0][0] <= self.now:
-            self._safely(heapq.heappop(self.timers)[2])
-        if not self.life.well:
-            # guards against what the kill would find unanswered
-            if self.life.core_looks(len(self.open), self.inbox.size(), self.now):
-                for exchange in list(self.open.values()):
-                    self._refuse_now(exchange)
-            self.inbox.closed = not self.life.takes
-
-    def _safely(self, event: Arrival | Timer) -> None:
+            self._handle_safely(heapq.heappop(self.timers)[2])
+        if not self.lifecycle.healthy:
+            # refuses pending calls in time before the platform kills the process
+            if self.lifecycle.check_core(len(self.pending), self.inbox.size(), self.now):
+                for call in list(self.pending.values()):
+                    self._refuse_pending(call)
+            self.inbox.closed = not self.lifecycle.accepts_set_ups
+
+    def _handle_safely(self, event: CoreEvent | Timer) -> None:
+        """Handles one event; after an exception a set-up without an attempt is refused."""
         try:
-            self._one(event)
-        except Exception:  # guards the other calls: one event that goes wrong must not end the program
+            self._handle(event)
+        except Exception:  # one faulty event must not end the program and all other calls
             traceback.print_exc(file=sys.stderr)
             if isinstance(event, Offer):
-                exchange = self.open.get(event.call)
-                if exchange is not None and exchange.attempt is None:
-                    exchange.refuse(self._come_back(), Why.FAILED)
-                    self._forget(exchange)
+                call = self.pending.get(event.call_id)
+                if call is not None and call.attempt is None:
+                    call.refuse(self._retry_after_ms(), RefusalReason.FAILED)
+                    self._remove_pending(call)
 
-    def _at(self, when: float, what: Timer) -> None:
-        heapq.heappush(self.timers, (when, next(self.order), what))
+    def _set_timer(self, due_ms: float, timer: Timer) -> None:
+        heapq.heappush(self.timers, (due_ms, next(self.timer_order), timer))
 
-    def _one(self, event: Arrival | Timer) -> None:
+    def _handle(self, event: CoreEvent | Timer) -> None:
         match event:
             case Offer():
-                self._offered(event)
-            case Withdrawn():
-                self._withdrawn(event)
-            case Unreadable(call, caller):
-                exchange = self.open.get(call)
-                if exchange is not None and exchange.offer.caller.origin is caller.origin:
-                    self._refuse_now(exchange)
-            case Stood():
-                self._stood(event)
-            case Ended():
-                self._ended(event)
+                self._handle_offer(event)
+            case SetUpCancelled():
+                self._handle_cancel(event)
+            case CallerStreamBroken(call_id, caller):
+                call = self.pending.get(call_id)
+                if call is not None and call.offer.caller.origin is caller.origin:
+                    self._refuse_pending(call)
+            case AttemptEstablished():
+                self._handle_established(event)
+            case AttemptFailed():
+                self._handle_attempt_failed(event)
             case HubReleased():
-                self._hub_released(event)
-            case CallerReleased(call):
-                self._caller_released(call)
-            case HubDied(hub, before):
-                self._hub_died(hub, before)
-            case GroupState(hub, figures):
-                self._module(Report(hub, False, True, 0.0, figures))
-            case Probed(hub, well, latency, figures):
-                self._heard(hub, figures)
-                self._module(Report(hub, True, well, latency, figures))
-            case News(change):
-                self.listed.update(entry.number for entry in change.entries)
-                self.guard.news(change)
-                self._module(change)
-                for entry in change.entries:  # what stood before its process started is over
+                self._handle_hub_release(event)
+            case CallerReleased(call_id):
+                self._handle_caller_release(call_id)
+            case HubFailed(hub, before_ms):
+                self._handle_hub_failed(hub, before_ms)
+            case LoadReported(hub, load_values):
+                self._notify_module(Report(hub, False, True, 0.0, load_values))
+            case ProbeCompleted(hub, succeeded, latency_ms, load_values):
+                self._update_guard(hub, load_values)
+                self._notify_module(Report(hub, True, succeeded, latency_ms, load_values))
+            case HubListChanged(change):
+                self.known_hub_numbers.update(entry.number for entry in change.entries)
+                self.guard.update_hubs(change)
+                self._notify_module(change)
+                for entry in change.entries:  # calls from before its restart are lost
                     if entry.started_ms > 0:
-                        self._hub_died(entry.exchange, entry.started_ms)
-            case Budgets(contracts):
+                        self._handle_hub_failed(entry.exchange, entry.started_ms)
+            case ContractsChanged(contracts):
                 self.contracts.replace(contracts, self.now)
-            case Stop(asked_ms):
-                self.life.stop(asked_ms)
+            case StopRequested(requested_ms):
+                self.lifecycle.request_stop(requested_ms)
             case Attempt():
-                self._attempt_due(event)
-            case Held(attempt):
-                if self._current(attempt) is not None:
+                self._handle_attempt_timeout(event)
+            case DelayedAttempt(attempt):
+                if self._pending_for(attempt) is not None:
                     self.hubs.set_up(attempt)
             case TimerFired():
-                self._module(event)
+                self._notify_module(event)
             case str():
-                self._last_moment(event)
+                self._handle_deadline(event)
 
     # --- callers ---
 
-    def _offered(self, offer: Offer) -> None:
-        again = self.open.get(offer.call)
-        if self._sent_again(offer, again or self.standing.get(offer.call)):
+    def _handle_offer(self, offer: Offer) -> None:
+        pending_call = self.pending.get(offer.call_id)
+        if self._take_over_repeat(offer, pending_call or self.established.get(offer.call_id)):
             return
-        exchange = Exchange(offer, next(self.numbers))
-        if again is not None or offer.call in self.standing:
-            # guards against whoever uses the id of another's call: it would be told that call's answer
-            exchange.refuse(0.0, Why.FAILED)
+        call = PendingCall(offer, next(self.numbers))
+        if pending_call is not None or offer.call_id in self.established:
+            # the id belongs to another call: this caller must not get that call's answer
+            call.refuse(0.0, RefusalReason.FAILED)
             return
-        kind = self.kinds.get(offer.class_name)
-        team_later = self.contracts.admit(offer.team, offer.class_name, offer.call, self.now)
-        if kind is None or offer.destination not in self.listed:
-            exchange.refuse(0.0, Why.FAILED)  # guards the module's tables against numbers that no hub had
-        elif team_later > 0:
-            exchange.refuse(team_later)
-        elif team_later < 0:
-            exchange.refuse(0.0, Why.FORBIDDEN)
-        elif len(self.open) >= OPEN_MOST or self.now >= offer.deadline_ms - LAST_MOMENT_MS:
-            exchange.refuse(self._come_back())
-        elif self.now < self.refused.get(offer.call, 0.0):
-            exchange.refuse(self._come_back())  # its last attempt is still being released at a lab hub
-        if exchange.final or kind is None:
-            record("refused", call=offer.call, by="core", attempts=0, known=again is not None)
-            self.contracts.ended(offer.call)
+        class_index = self.class_indexes.get(offer.class_name)
+        team_retry_after_ms = self.contracts.admit(offer.team, offer.class_name, offer.call_id, self.now)
+        if class_index is None or offer.destination not in self.known_hub_numbers:
+            call.refuse(0.0, RefusalReason.FAILED)  # keeps unknown numbers out of the module's tables
+        elif team_retry_after_ms > 0:
+            call.refuse(team_retry_after_ms)
+        elif team_retry_after_ms < 0:
+            call.refuse(0.0, RefusalReason.FORBIDDEN)
+        elif len(self.pending) >= MAX_PENDING_CALLS or self.now >= offer.deadline_ms - DEADLINE_MARGIN_MS:
+            call.refuse(self._retry_after_ms())
+        elif self.now < self.ended.get(offer.call_id, 0.0):
+            call.refuse(self._retry_after_ms())  # the last attempt of this id is still being released
+        if call.concluded or class_index is None:
+            log_event("refused", call=offer.call_id, by="core", attempts=0, known=pending_call is not None)
+            self.contracts.call_ended(offer.call_id)
             return
-        self.open[offer.call] = self.by_number[exchange.number] = exchange
-        self._at(offer.deadline_ms - LAST_MOMENT_MS, offer.call)
-        self._module(
+        self.pending[offer.call_id] = self.pending_by_number[call.number] = call
+        self._set_timer(offer.deadline_ms - DEADLINE_MARGIN_MS, offer.call_id)
+        self._notify_module(
             CallOffered(
-                exchange.number,
+                call.number,
                 offer.destination,
-                kind,
+                class_index,
                 offer.width,
                 offer.deadline_ms - self.now,
-                advised_number=offer.advised,
+                advised_number=offer.advised_number,
                 in_transit=offer.in_transit,
-                is_redial_after_cut=offer.again_after_cut,
-                called_number=offer.key,
+                is_redial_after_cut=offer.is_redial_after_cut,
+                called_number=offer.called_number,
             )
         )
 
-    def _sent_again(self, offer: Offer, known: Exchange | Standing | None) -> bool:
-        """A set-up whose connection has ended and that comes on a new one: its answer goes there."""
-        if known is None or not offer.same_call(known.offer) or known.offer.caller.reachable():
+    def _take_over_repeat(self, offer: Offer, known: PendingCall | EstablishedCall | None) -> bool:
+        """Answers a repeated set-up on its new connection, if the first connection has ended.
+
+        Returns false if the set-up is not such a repeat.
+        """
+        if known is None or not offer.is_repeat_of(known.offer) or known.offer.caller.reachable():
             return False
-        if isinstance(known, Standing):
-            if self.now - known.since_ms > SENT_AGAIN_MS:
+        if isinstance(known, EstablishedCall):
+            if self.now - known.since_ms > REPEAT_WINDOW_MS:
                 return False
             offer.caller.answer(known.description)
-        record("sent_again", call=offer.call, stands=isinstance(known, Standing))
+        log_event("sent_again", call=offer.call_id, stands=isinstance(known, EstablishedCall))
         known.offer = offer
         return True
 
-    def _withdrawn(self, event: Withdrawn) -> None:
-        # guards against whoever gives up a set-up under the id of another's call
-        exchange, standing = self.open.get(event.call), self.standing.get(event.call)
-        if exchange is not None:
-            if exchange.offer.caller.origin is event.caller.origin and exchange.withdraw():
-                record("withdrawn", call=event.call, attempts=exchange.attempts)
-                self._drop(exchange)
-        elif standing is not None and standing.offer.caller.origin is event.caller.origin:
-            self._caller_released(event.call)  # it crossed the answer
-
-    def _caller_released(self, call: str) -> None:
-        standing = self.standing.pop(call, None)
-        if standing is None:
+    def _handle_cancel(self, event: SetUpCancelled) -> None:
+        # only the connection that the set-up came on may cancel it, not another one that uses the same id
+        call, established_call = self.pending.get(event.call_id), self.established.get(event.call_id)
+        if call is not None:
+            if call.offer.caller.origin is event.caller.origin and call.cancel():
+                log_event("withdrawn", call=event.call_id, attempts=call.attempt_count)
+                self._abandon(call)
+        elif established_call is not None and established_call.offer.caller.origin is event.caller.origin:
+            self._handle_caller_release(event.call_id)  # the CANCEL crossed the answer
+
+    def _handle_caller_release(self, call_id: str) -> None:
+        established_call = self.established.pop(call_id, None)
+        if established_call is None:
             return
-        self.contracts.ended(call)
-        self.hubs.release(standing.attempt.hub, call)
-        self._module(self._end_of(standing, AttemptOutcome.CANCELLED))
-
-    def _last_moment(self, call: str) -> None:
-        """Guards against a call left without its answer, whatever became of the decision on it."""
-        exchange = self.open.get(call)
-        if exchange is None or self.now < exchange.deadline_ms - LAST_MOMENT_MS:
+        self.contracts.call_ended(call_id)
+        self.hubs.release(established_call.attempt.hub, call_id)
+        self._notify_module(self._call_ended_event(established_call, AttemptOutcome.CANCELLED))
+
+    def _handle_deadline(self, call_id: str) -> None:
+        """Refuses the call shortly before its deadline if the decision module has not concluded it."""
+        call = self.pending.get(call_id)
+        if call is None or self.now < call.deadline_ms - DEADLINE_MARGIN_MS:
             return
-        self._refuse_now(exchange)
-
-    def _refuse_now(self, exchange: Exchange) -> None:
-        """The core's own refusal, without asking the module; nothing where the answer has been given."""
-        if exchange.refuse(self._come_back(), exchange.why):
-            record("refused", call=exchange.offer.call, why=exchange.why.value, by="core",
-                   attempts=exchange.attempts)  # fmt: skip
-            self._drop(exchange)
-
-    def _drop(self, exchange: Exchange) -> None:
-        """The call is over for its caller: an attempt still out is called off."""
-        attempt = exchange.attempt
+        self._refuse_pending(call)
+
+    def _refuse_pending(self, call: PendingCall) -> None:
+        """Refuses a pending call without asking the decision module; does nothing if it has its answer."""
+        if call.refuse(self._retry_after_ms(), call.refusal_reason):
+            log_event("refused", call=call.offer.call_id, why=call.refusal_reason.value, by="core",
+                      attempts=call.attempt_count)  # fmt: skip
+            self._abandon(call)
+
+    def _abandon(self, call: PendingCall) -> None:
+        """Removes a call that is over for its caller and cancels its pending attempt."""
+        attempt = call.attempt
         if attempt is not None:
-            exchange.not_before = self.now + self.set.release_wait_ms
-        self._forget(exchange)
-        self._module(CallAbandoned(exchange.number))
+            call.not_before_ms = self.now + self.settings.release_wait_ms
+        self._remove_pending(call)
+        self._notify_module(CallAbandoned(call.number))
         if attempt is not None:
             self.hubs.cancel(attempt)
-            self._module(
-                AttemptEnded(exchange.number, attempt.hub, attempt.number, AttemptOutcome.CANCELLED, True,
+            self._notify_module(
+                AttemptEnded(call.number, attempt.hub, attempt.number, AttemptOutcome.CANCELLED, True,
                              self.now - attempt.sent_ms)
             )  # fmt: skip
 
-    def _forget(self, exchange: Exchange) -> None:
-        self.open.pop(exchange.offer.call, None)
-        self.by_number.pop(exchange.number, None)
-        exchange.attempt = None
-        if exchange.offer.call not in self.standing:
-            self.contracts.ended(exchange.offer.call)
-            self.refused[exchange.offer.call] = exchange.not_before
-            while len(self.refused) > REFUSED_MOST:
-                self.refused.popitem(last=False)
+    def _remove_pending(self, call: PendingCall) -> None:
+        self.pending.pop(call.offer.call_id, None)
+        self.pending_by_number.pop(call.number, None)
+        call.attempt = None
+        if call.offer.call_id not in self.established:
+            self.contracts.call_ended(call.offer.call_id)
+            self.ended[call.offer.call_id] = call.not_before_ms
+            while len(self.ended) > MAX_ENDED_CALLS:
+                self.ended.popitem(last=False)
 
-    def _come_back(self) -> float:
-        return self.set.max_retry_after_ms if self.set.sends_retry_after else 0.0
+    def _retry_after_ms(self) -> float:
+        """The retry time advised where the core refuses a call itself."""
+        return self.settings.max_retry_after_ms if self.settings.sends_retry_after else 0.0
 
     # --- lab hubs ---
 
-    def _current(self, attempt: Attempt) -> Exchange | None:
-        exchange = self.open.get(attempt.offer.call)
-        return exchange if exchange is not None and exchange.attempt is attempt else None
-
-    def _stood(self, event: Stood) -> None:
-        attempt, call = event.attempt, event.attempt.offer.call
-        exchange = self._current(attempt)
-        if exchange is None:  # it crossed our giving up: what stands there for nobody is released
-            standing = self.standing.get(call)
-            busy = self.open.get(call)
-            if not (standing and standing.attempt.hub == attempt.hub) and not (
-                busy and busy.attempt and busy.attempt.hub == attempt.hub
+    def _pending_for(self, attempt: Attempt) -> PendingCall | None:
+        """The pending call of this attempt, if the attempt is the current one."""
+        call = self.pending.get(attempt.offer.call_id)
+        return call if call is not None and call.attempt is attempt else None
+
+    def _handle_established(self, event: AttemptEstablished) -> None:
+        attempt, call_id = event.attempt, event.attempt.offer.call_id
+        call = self._pending_for(attempt)
+        if call is None:  # the answer crossed our cancel: the call established at that hub is released
+            established_call = self.established.get(call_id)
+            other_call = self.pending.get(call_id)
+            if not (established_call and established_call.attempt.hub == attempt.hub) and not (
+                other_call and other_call.attempt and other_call.attempt.hub == attempt.hub
             ):
-                self.hubs.release(attempt.hub, call)
+                self.hubs.release(attempt.hub, call_id)
             return
-        if len(self.standing) >= STANDING_MOST:
-            oldest = next(iter(self.standing))
-            del self.standing[oldest]
-            self.contracts.ended(oldest)
-        self.standing[call] = Standing(exchange, attempt, event.description, self.now)
-        exchange.answer(event.description)
-        self._forget(exchange)
-        self._module(
-            CallEstablished(exchange.number, attempt.hub, attempt.number, self.now - attempt.sent_ms)
+        if len(self.established) >= MAX_ESTABLISHED_CALLS:
+            oldest_id = next(iter(self.established))
+            del self.established[oldest_id]
+            self.contracts.call_ended(oldest_id)
+        self.established[call_id] = EstablishedCall(call, attempt, event.description, self.now)
+        call.answer(event.description)
+        self._remove_pending(call)
+        self._notify_module(
+            CallEstablished(call.number, attempt.hub, attempt.number, self.now - attempt.sent_ms)
         )
-        if exchange.released is not None:
-            self._hub_released(exchange.released)
+        if call.early_release is not None:
+            self._handle_hub_release(call.early_release)
 
-    def _ended(self, event: Ended) -> None:
+    def _handle_attempt_failed(self, event: AttemptFailed) -> None:
         attempt = event.attempt
-        exchange = self._current(attempt)
-        self._heard(attempt.hub, event.report)
-        if exchange is None:
+        call = self._pending_for(attempt)
+        self._update_guard(attempt.hub, event.load_values)
+        if call is None:
             return
-        exchange.attempt = None
-        if event.ending not in UNANSWERED:
-            exchange.answered_ms[attempt.hub] = self.now
-        record("attempt_ended", call=attempt.offer.call, hub=attempt.hub, number=attempt.number,
-               ending=event.ending.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
-        timed_out = event.ending is AttemptOutcome.TIMED_OUT
-        exchange.why = Why.TIMED_OUT if timed_out else WHY.get(event.reason, Why.TURNED_AWAY)
-        if event.ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
-            exchange.not_before = self.now + self.set.release_wait_ms
-        self._module(
-            AttemptEnded(exchange.number, attempt.hub, attempt.number, event.ending, False,
-                         self.now - attempt.sent_ms, event.reason, 0.0, event.report)
+        call.attempt = None
+        if event.outcome not in NOT_ANSWERED:
+            call.refused_ms_by_hub[attempt.hub] = self.now
+        log_event("attempt_ended", call=attempt.offer.call_id, hub=attempt.hub, number=attempt.number,
+                  ending=event.outcome.name, after_ms=self.now - attempt.sent_ms)  # fmt: skip
+        timed_out = event.outcome is AttemptOutcome.TIMED_OUT
+        call.refusal_reason = (
+            RefusalReason.TIMED_OUT
+            if timed_out
+            else REFUSAL_REASONS.get(event.reason, RefusalReason.UNAVAILABLE)
+        )
+        if event.outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT, AttemptOutcome.CANCELLED):
+            call.not_before_ms = self.now + self.settings.release_wait_ms
+        self._notify_module(
+            AttemptEnded(call.number, attempt.hub, attempt.number, event.outcome, False,
+                         self.now - attempt.sent_ms, event.reason, 0.0, event.load_values)
         )  # fmt: skip
 
-    def _attempt_due(self, attempt: Attempt) -> None:
-        if self._current(attempt) is not None:
-            # guards the module against taking a connection that fell silent for a processor that is slow
-            mute = self.hubs.cancel(attempt)
-            self._ended(Ended(attempt, AttemptOutcome.CANCELLED if mute else AttemptOutcome.TIMED_OUT))
+    def _handle_attempt_timeout(self, attempt: Attempt) -> None:
+        if self._pending_for(attempt) is not None:
+            # a connection that fell silent must not count as a slow processor in the decision module
+            connection_silent = self.hubs.cancel(attempt)
+            self._handle_attempt_failed(
+                AttemptFailed(
+                    attempt, AttemptOutcome.CANCELLED if connection_silent else AttemptOutcome.TIMED_OUT
+                )
+            )
 
-    def _end_of(self, standing: Standing, ending: AttemptOutcome, report: tuple[float, ...] = ()) -> Event:
-        attempt = standing.attempt
+    def _call_ended_event(
+        self, established_call: EstablishedCall, outcome: AttemptOutcome, load_values: tuple[float, ...] = ()
+    ) -> Event:
+        attempt = established_call.attempt
         return AttemptEnded(
-            standing.number,
+            established_call.number,
             attempt.hub,
             attempt.number,
-            ending,
+            outcome,
             True,
             self.now - attempt.sent_ms,
-            load_values=report,
+            load_values=load_values,
         )
 
-    def _hub_released(self, event: HubReleased) -> None:
-        standing = self.standing.get(event.call)
-        self._heard(event.hub, event.report)
-        if standing is None:
-            self._released_without_standing(event)
+    def _handle_hub_release(self, event: HubReleased) -> None:
+        established_call = self.established.get(event.call_id)
+        self._update_guard(event.hub, event.load_values)
+        if established_call is None:
+            self._handle_unmatched_release(event)
             return
-        if standing.attempt.hub != event.hub:
-            return  # a late word on an attempt that was given up; the call stands elsewhere
-        del self.standing[event.call]
-        self.contracts.ended(event.call)
-        standing.offer.caller.release(event.cause)
-        ending = AttemptOutcome.CUT if event.cause == CAUSE_CUT else AttemptOutcome.ENDED
-        self._module(self._end_of(standing, ending, event.report))
-
-    def _released_without_standing(self, event: HubReleased) -> None:
-        """A caller hears of an end only after its answer, or if the call is from before a restart."""
-        exchange = self.open.get(event.call)
-        if exchange is not None:
-            current = exchange.attempt is not None and exchange.attempt.hub == event.hub
-            record("release_before_answer", call=event.call, hub=event.hub, current=current)
-            if current:
-                exchange.released = event
-        elif event.call in self.refused:
-            record("release_ignored", call=event.call, hub=event.hub)
+        if established_call.attempt.hub != event.hub:
+            return  # late, of a cancelled attempt: the call is established at another hub
+        del self.established[event.call_id]
+        self.contracts.call_ended(event.call_id)
+        established_call.offer.caller.release(event.cause)
+        outcome = AttemptOutcome.CUT if event.cause == CAUSE_CALL_CUT else AttemptOutcome.ENDED
+        self._notify_module(self._call_ended_event(established_call, outcome, event.load_values))
+
+    def _handle_unmatched_release(self, event: HubReleased) -> None:
+        """Handles the release of a call that is not established here.
+
+        If its answer has not arrived, the release is kept until then. If the call is unknown, it may be
+        from before a restart: the release is passed on to the callers.
+        """
+        call = self.pending.get(event.call_id)
+        if call is not None:
+            is_current = call.attempt is not None and call.attempt.hub == event.hub
+            log_event("release_before_answer", call=event.call_id, hub=event.hub, current=is_current)
+            if is_current:
+                call.early_release = event
+        elif event.call_id in self.ended:
+            log_event("release_ignored", call=event.call_id, hub=event.hub)
         else:
-            record("release_of_unknown", call=event.call, hub=event.hub, cause=event.cause)
-            self.released(event.call, event.cause)
-
-    def _hub_died(self, hub: bytes, before_ms: float) -> None:
-        cut = [
-            call
-            for call, standing in self.standing.items()
-            if standing.attempt.hub == hub and standing.attempt.sent_ms < before_ms
+            log_event("release_of_unknown", call=event.call_id, hub=event.hub, cause=event.cause)
+            self.release_unknown(event.call_id, event.cause)
+
+    def _handle_hub_failed(self, hub: bytes, before_ms: float) -> None:
+        cut_call_ids = [
+            call_id
+            for call_id, established_call in self.established.items()
+            if established_call.attempt.hub == hub and established_call.attempt.sent_ms < before_ms
         ]
-        if cut:
-            say(f"{hub!r} is gone: {len(cut)} calls that stood there are released")
-        for call in cut:
-            if call in self.standing:
-                self._hub_released(HubReleased(call, hub, CAUSE_CUT))
+        if cut_call_ids:
+            log_text(f"{hub!r} failed: {len(cut_call_ids)} established calls there are released")
+        for call_id in cut_call_ids:
+            if call_id in self.established:
+                self._handle_hub_release(HubReleased(call_id, hub, CAUSE_CALL_CUT))
 
-    def _heard(self, hub: bytes, figures: tuple[float, ...]) -> None:
-        if 0 <= self.room_at < len(figures):
-            self.guard.room(hub, figures[self.room_at])
+    def _update_guard(self, hub: bytes, load_values: tuple[float, ...]) -> None:
+        if 0 <= self.capacity_index < len(load_values):
+            self.guard.update_capacity(hub, load_values[self.capacity_index])
 
     # --- the decision module ---
 
-    def _module(self, event: Event) -> None:
+    def _notify_module(self, event: Event) -> None:
         for action in self.switch.handle(event, self.now):
-            self._act(action)
+            self._execute(action)
 
-    def _act(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
-            case SetUp(number, hub, wait):
-                self._set_up(number, hub, wait)
-            case Refuse(number, come_back):
-                self._refuse(number, come_back, None)
-            case FailCall(number, come_back):
-                self._refuse(number, come_back, Why.FAILED)
+            case SetUp(call_number, hub, timeout_ms):
+                self._execute_set_up(call_number, hub, timeout_ms)
+            case Refuse(call_number, retry_after_ms):
+                self._execute_refusal(call_number, retry_after_ms, None)
+            case FailCall(call_number, retry_after_ms):
+                self._execute_refusal(call_number, retry_after_ms, RefusalReason.FAILED)
             case Probe(hub):
-                self.hubs.probe(hub, self.now + PROBE_WAIT_MS)
-            case SetTimer(when, token):
-                self._at(when, TimerFired(token))
+                self.hubs.probe(hub, self.now + PROBE_TIMEOUT_MS)
+            case SetTimer(due_ms, token):
+                self._set_timer(due_ms, TimerFired(token))
             case LogMessage(text):
-                say(text)
+                log_text(text)
             case _:
-                pass  # the platform tells news by itself, and border controllers have no way to talk
+                pass  # the platform pushes the hub list unasked, and border controllers exchange no messages
 
-    def _refuse(self, number: int, come_back: float, why: Why | None) -> None:
-        exchange = self.by_number.get(number)
-        if exchange is not None:
-            attempt = exchange.attempt
-            exchange.refuse(come_back, why or exchange.why)
+    def _execute_refusal(self, call_number: int, retry_after_ms: float, reason: RefusalReason | None) -> None:
+        call = self.pending_by_number.get(call_number)
+        if call is not None:
+            attempt = call.attempt
+            call.refuse(retry_after_ms, reason or call.refusal_reason)
             if attempt is not None:
-                exchange.not_before = self.now + self.set.release_wait_ms
-            record("refused", call=exchange.offer.call, why=(why or exchange.why).value, by="module",
-                   attempts=exchange.attempts, come_back_ms=come_back)  # fmt: skip
-            self._forget(exchange)
+                call.not_before_ms = self.now + self.settings.release_wait_ms
+            log_event("refused", call=call.offer.call_id, why=(reason or call.refusal_reason).value,
+                      by="module", attempts=call.attempt_count, come_back_ms=retry_after_ms)  # fmt: skip
+            self._remove_pending(call)
             if attempt is not None:
                 self.hubs.cancel(attempt)
 
-    def _set_up(self, number: int, hub: bytes, wait: float) -> None:
-        exchange = self.by_number.get(number)
-        if exchange is None:
+    def _execute_set_up(self, call_number: int, hub: bytes, timeout_ms: float) -> None:
+        call = self.pending_by_number.get(call_number)
+        if call is None:
             return
-        objection = self.guard.objection(exchange, hub, self.now)
+        objection = self.guard.objection(call, hub, self.now)
         if objection:
-            say(f"set-up of {exchange.offer.call} held back: {objection}")
-            self._module(AttemptEnded(number, hub, exchange.attempts, AttemptOutcome.NOT_SENT, False, 0.0))
+            log_text(f"set-up of call {call.offer.call_id} not sent: {objection}")
+            self._notify_module(
+                AttemptEnded(call_number, hub, call.attempt_count, AttemptOutcome.NOT_SENT, False, 0.0)
+            )
             return
-        until = exchange.deadline_ms - LAST_MOMENT_MS
-        if wait > 0:
-            until = min(until, self.now + wait)
-        goes_out = max(self.now, exchange.answered_ms.get(hub, 0.0) + SECOND_ANSWER_MS)
-        attempt = Attempt(exchange.offer, exchange.attempts, hub, goes_out, until)
-        exchange.attempt, exchange.attempts, exchange.released = attempt, exchange.attempts + 1, None
-        self.guard.sent(hub, self.now)
-        self._at(until, attempt)
-        if goes_out > self.now:
-            self._at(goes_out, Held(attempt))
+        attempt_deadline_ms = call.deadline_ms - DEADLINE_MARGIN_MS
+        if timeout_ms > 0:
+            attempt_deadline_ms = min(attempt_deadline_ms, self.now + timeout_ms)
+        send_ms = max(self.now, call.refused_ms_by_hub.get(hub, 0.0) + DUPLICATE_ANSWER_MS)
+        attempt = Attempt(call.offer, call.attempt_count, hub, send_ms, attempt_deadline_ms)
+        call.attempt, call.attempt_count, call.early_release = (
+            attempt,
+            call.attempt_count + 1,
+            None,
+        )
+        self.guard.record_send(hub, self.now)
+        self._set_timer(attempt_deadline_ms, attempt)
+        if send_ms > self.now:
+            self._set_timer(send_ms, DelayedAttempt(attempt))
         else:
             self.hubs.set_up(attempt)
--- a/landingdeal/net/bus.py
+++ b/landingdeal/net/bus.py
@@ -12,10 +12,10 @@
 
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.errors import ConfigError
-from landingdeal.log import record, say
+from landingdeal.log import log_event, log_text
 from landingdeal.net.config import TopologyEvent, parse_topology_event
 from landingdeal.net.link import dial
-from landingdeal.threads import start_lasting_thread
+from landingdeal.threads import start_supervised_thread
 
 MAX_SILENCE_MS = 2200.0  # a comment arrives every second: after so long without one the connection has failed
 DIAL_TIMEOUT_MS = 500.0
@@ -42,7 +42,7 @@
 
     def start(self) -> None:
         """Starts the thread that reads the event bus and reconnects to it."""
-        start_lasting_thread("bus", self._run)
+        start_supervised_thread("bus", self._run)
 
     def change_address(self, address: tuple[str, int], known: tuple[TopologyEvent, ...]) -> None:
         """Applies the events and the bus address of a new configuration; the numbering continues.
@@ -60,14 +60,14 @@
                 with contextlib.suppress(OSError):
                     # ends the read in the bus thread, which then closes the socket
                     self.sock.shutdown(socket.SHUT_RDWR)
-        say(f"event bus: now read from {address[0]}:{address[1]}")
+        log_text(f"event bus: now read from {address[0]}:{address[1]}")
 
     def _apply(self, event: TopologyEvent) -> None:
         with self.lock:  # held during the call, so that two threads can't apply events in the wrong order
             if event.offset > self.offset:
                 self.on_event(event)
                 self.offset = event.offset
-                record("event", number=event.offset, entries=len(event.addresses))
+                log_event("event", number=event.offset, entries=len(event.addresses))
 
     def _handle_event(self, number: str, data: str) -> None:
         """Parses and applies one event.
@@ -82,7 +82,7 @@
             self.unusable_number = number
             if not (repeated and _is_event_number(number)):
                 raise ValueError(f"cannot use event {number[:20]!r}: {error}") from None
-            record("event_passed_over", number=number, error=type(error).__name__)
+            log_event("event_passed_over", number=number, error=type(error).__name__)
             with self.lock:
                 self.offset = max(self.offset, int(number))
             return
@@ -102,7 +102,7 @@
                     with self.lock:
                         self.sock = None
             except (OSError, ValueError) as error:
-                say(f"event bus: {type(error).__name__} {error} (the last event was {self.offset})")
+                log_text(f"event bus: {type(error).__name__} {error} (the last event was {self.offset})")
             if address == self.address:
                 time.sleep(seconds_until(now_ms() + RECONNECT_PAUSE_MS))
 
--- a/landingdeal/net/callers.py
+++ b/landingdeal/net/callers.py
@@ -10,14 +10,14 @@
 from landingdeal.clock import now_ms
 from landingdeal.core import steps
 from landingdeal.core.broker import Inbox
-from landingdeal.core.events import CallerReleased, Unreadable, Why, Withdrawn
-from landingdeal.core.lifecycle import Idler, Lifecycle, may_go, spare
-from landingdeal.log import record
+from landingdeal.core.events import CallerReleased, CallerStreamBroken, RefusalReason, SetUpCancelled
+from landingdeal.core.lifecycle import IdleConnection, Lifecycle, connections_to_close, may_close
+from landingdeal.log import log_event
 from landingdeal.net.link import Acceptor, CallerLink
 from landingdeal.net.set_up import parse_offer
 from landingdeal.net.transaction import CallerTransaction
-from landingdeal.sip.headers import ALLOW, reason_header
-from landingdeal.sip.message import TOO_LARGE, Malformed, Message, request, response
+from landingdeal.sip.headers import ALLOW_HEADER, reason_header
+from landingdeal.sip.message import TOO_LARGE, MalformedMessage, Message, request, response
 
 IDLE_CLOSE_SHARE = 0.4  # of the descriptors, of which callers need a third; above this the idlest are closed
 ACCEPT_SHARE = 0.6  # of the descriptors; above this new connections are closed at once
@@ -53,14 +53,14 @@
         self.undelivered_releases: OrderedDict[str, tuple[float, int]] = OrderedDict()
         self.sent_releases: deque[tuple[float, str, int, CallerLink]] = deque(maxlen=MAX_STORED_RELEASES)
         self.ready = threading.Event()
-        self.life.doors += 1
+        self.life.open_listeners += 1
         self.acceptor = Acceptor(
-            host, port, self._on_accepted, lambda: self.life.accepts, self._acceptor_closed
+            host, port, self._on_accepted, lambda: self.life.accepts_connections, self._acceptor_closed
         )
-        self.life.watchers.append(self.acceptor.wake)
+        self.life.phase_listeners.append(self.acceptor.wake)
 
     def _acceptor_closed(self) -> None:
-        self.life.doors -= 1
+        self.life.open_listeners -= 1
 
     def flush(self) -> int:
         """After the core's end: refuses pending set-ups, closes idle connections; returns how many remain."""
@@ -68,16 +68,16 @@
             open_links = list(self.links.items())
         for link, pending in open_links:
             for transaction in list(pending.values()):
-                transaction.refuse(self.retry_after_ms, Why.TURNED_AWAY)
+                transaction.refuse(self.retry_after_ms, RefusalReason.UNAVAILABLE)
             self._close_if_idle(link)
         return sum(link.alive for link, _ in open_links)
 
     def _close_if_idle(self, link: CallerLink) -> bool:
         """Closes a connection if it is still idle; under the lock no set-up can be added in between."""
-        steps.at(steps.CLOSING)
+        steps.reached(steps.CLOSING)
         with self.lock:
             pending = self.links.get(link)
-            if pending is None or not may_go(link.pending_work(len(pending))):
+            if pending is None or not may_close(link.pending_work(len(pending))):
                 return False
             link.close_with_reason("not needed")
         return True
@@ -85,7 +85,7 @@
     def _on_accepted(self, sock: socket.socket) -> None:
         with self.lock:
             if len(self.links) >= self.accept_limit:
-                record("caller_turned_away", connections=len(self.links))
+                log_event("caller_turned_away", connections=len(self.links))
                 sock.close()
                 return
             link = CallerLink(
@@ -124,10 +124,10 @@
             idle = [link for link, pending in self.links.items() if link.alive and not pending]
         surplus = excess
         candidates = (
-            Idler(n, link.last_received_ms, link.opened_ms, link.trust_level > 0)
+            IdleConnection(n, link.last_received_ms, link.opened_ms, link.trust_level > 0)
             for n, link in enumerate(idle)
         )
-        for number in spare(candidates, excess, now):
+        for number in connections_to_close(candidates, excess, now):
             closed = self._close_if_idle(idle[number])
             surplus -= closed
             if closed and excess > 0 and surplus <= 0:
@@ -137,7 +137,7 @@
         with self.lock:
             pending = list(self.links.get(link, {}).items())
         for call, transaction in pending:
-            self.inbox.tell(Unreadable(call, transaction))
+            self.inbox.put(CallerStreamBroken(call, transaction))
 
     def _on_ended(self, link: CallerLink, reset: bool) -> None:
         with self.lock:
@@ -150,11 +150,11 @@
                 if to is link and now_ms() - sent_ms < RESEND_WINDOW_MS
             ]
             self._drop_old_releases()
-        record("caller_closed", link=link.number,
+        log_event("caller_closed", link=link.number,
                why=link.close_reason or ("reset" if reset else "by the caller"),
                open=len(pending), unsent=link.unsent())  # fmt: skip
         for call, transaction in pending.items():
-            self.inbox.tell(Withdrawn(call, transaction))
+            self.inbox.put(SetUpCancelled(call, transaction))
         for (
             call,
             cause,
@@ -166,13 +166,13 @@
         while self.sent_releases and now_ms() - self.sent_releases[0][0] >= RESEND_WINDOW_MS:
             self.sent_releases.popleft()
 
-    def _on_message(self, link: CallerLink, message: Message | Malformed) -> None:
-        if isinstance(message, Malformed):
+    def _on_message(self, link: CallerLink, message: Message | MalformedMessage) -> None:
+        if isinstance(message, MalformedMessage):
             malformed = message.message
             if malformed.status or malformed.method == "ACK":
                 return
             if not (malformed.call_id and self._is_repeated(link, malformed.call_id)):
-                link.send(response(malformed, 413 if message.why == TOO_LARGE else 400))
+                link.send(response(malformed, 413 if message.problem == TOO_LARGE else 400))
             return
         if message.status:
             return  # the answer to a release
@@ -183,15 +183,15 @@
                 self._on_cancel(link, message)
             case "BYE":
                 link.send(response(message, 200))
-                self.inbox.tell(CallerReleased(message.call_id))
+                self.inbox.put(CallerReleased(message.call_id))
             case "OPTIONS":
                 self._mark_trusted(link)
-                healthy = self.ready.is_set() and self.life.well
+                healthy = self.ready.is_set() and self.life.healthy
                 link.send(response(message, 200 if healthy else 503))
             case "ACK":
                 pass
             case _:
-                link.send(response(message, 405, ALLOW))
+                link.send(response(message, 405, ALLOW_HEADER))
 
     def _on_cancel(self, link: CallerLink, message: Message) -> None:
         with self.lock:
@@ -200,14 +200,14 @@
         if transaction is None:
             transaction = CallerTransaction(self, link, message)
         transaction.cancel()
-        self.inbox.tell(Withdrawn(message.call_id, transaction))
+        self.inbox.put(SetUpCancelled(message.call_id, transaction))
 
     def _is_repeated(self, link: CallerLink, call: str) -> bool:
         """Whether a set-up with this Call-ID has come on this connection: its one answer serves both."""
         with self.lock:
             known = call in self.links.get(link, {}) or (link, call) in self.answered
         if known:
-            record("repeated", call=call, link=link.number)
+            log_event("repeated", call=call, link=link.number)
         return known
 
     def _on_invite(self, link: CallerLink, message: Message) -> None:
@@ -225,10 +225,10 @@
         with self.lock:
             pending = self.links.get(link, {})
             pending[message.call_id] = transaction
-        steps.at(steps.TAKEN)
+        steps.reached(steps.REGISTERED)
         if not self.inbox.offer(offer):  # full, or the core has ended: the caller still gets an answer
-            record("refused", call=offer.call, by="front", closed=self.inbox.closed)
-            transaction.refuse(self.retry_after_ms, Why.TURNED_AWAY)
+            log_event("refused", call=offer.call_id, by="front", closed=self.inbox.closed)
+            transaction.refuse(self.retry_after_ms, RefusalReason.UNAVAILABLE)
 
     def transaction_answered(self, transaction: CallerTransaction) -> None:
         """Moves a pending set-up to the answered ones."""
@@ -261,7 +261,7 @@
                 while len(self.undelivered_releases) > MAX_STORED_RELEASES:
                     self.undelivered_releases.popitem(last=False)
                 return
-            record("release", call=call, cause=cause, link=target.number)
+            log_event("release", call=call, cause=cause, link=target.number)
             self.sent_releases.append((now_ms(), call, cause, target))
             self._drop_old_releases()
         bye = request("BYE", "sip:caller@net", ("via", self.via), ("call-id", call), ("cseq", "2 BYE"),
--- a/landingdeal/net/config.py
+++ b/landingdeal/net/config.py
@@ -8,7 +8,7 @@
 
 from badgerstile.interface import ExchangeEntry, ExchangeList, Health, ListKind, Settings
 from badgerstile.wire import WireError, read_settings
-from landingdeal.errors import ConfigError, address
+from landingdeal.errors import ConfigError, parse_address
 
 HEALTH_BY_STATUS = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.REMOVED}
 
@@ -57,7 +57,7 @@
             up_since_ms = float(endpoint.get("since_ms") or 0.0)
             host_port = str(endpoint.get("address") or "")
             if host_port:
-                address(host_port, "an endpoint")
+                parse_address(host_port, "an endpoint")
             elif health is not Health.REMOVED:
                 raise ConfigError(f"no address for {endpoint['name']}")
             entries.append(
@@ -83,7 +83,7 @@
     if not isinstance(raw, dict):
         raise ConfigError("the configuration is not a JSON object")
     try:
-        host, port = address(raw["listen"], "listen")
+        host, port = parse_address(raw["listen"], "listen")
         known = raw.get("known") or {"offset": 0, "batch": []}
         return Config(
             name=str(raw.get("name", "")),
@@ -91,7 +91,7 @@
             port=port,
             seed=int(str(raw.get("seed", "0")) or "0", 16),
             sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
-            bus=address(raw["bus"], "bus"),
+            bus=parse_address(raw["bus"], "bus"),
             offset=int(known["offset"]),
             known=tuple(parse_topology_event(event) for event in known["batch"]),
             settings=read_settings(json.dumps(raw["settings"]).encode()),
--- a/landingdeal/net/set_up.py
+++ b/landingdeal/net/set_up.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from landingdeal.core.events import CallerSide, Offer
+from landingdeal.core.events import CallerResponder, Offer
 from landingdeal.sip.message import Message
 
 MAX_HUB_NUMBER = 0xFFFF
@@ -49,7 +49,9 @@
     return text
 
 
-def parse_offer(message: Message, caller: CallerSide, arrived_ms: float, max_patience_ms: float) -> Offer:
+def parse_offer(
+    message: Message, caller: CallerResponder, arrived_ms: float, max_patience_ms: float
+) -> Offer:
     """Parses an INVITE; raises ValueError or KeyError on a missing value or one that is not in range."""
     facts = parse_facts(message.get("x-facts"))
     patience = parse_decimal(message.get("x-patience"))
@@ -59,7 +61,7 @@
     if not message.body.endswith(b"\r\n"):  # missing, or cut off by a wrong Content-Length
         raise ValueError("description is not complete")
     return Offer(
-        call=checked_hex_digits(message.call_id),
+        call_id=checked_hex_digits(message.call_id),
         uri=message.uri,
         class_name=message.get("subject"),
         destination=facts["dest"],
@@ -67,10 +69,10 @@
         description=message.body,
         caller=caller,
         facts=message.get("x-facts"),
-        key=int(number, 16),
+        called_number=int(number, 16),
         width=facts.get("width", 1),
-        advised=facts.get("via", -1),
+        advised_number=facts.get("via", -1),
         in_transit=bool(facts.get("transit", 0)),
-        again_after_cut=bool(facts.get("again", 0)),
+        is_redial_after_cut=bool(facts.get("again", 0)),
         team=message.get("organization"),
     )
--- a/landingdeal/service/on_platform.py
+++ b/landingdeal/service/on_platform.py
@@ -9,15 +9,15 @@
 from landingdeal.clock import now_ms, seconds_until
 from landingdeal.core.broker import Broker, Inbox
 from landingdeal.core.contracts import Contract, Contracts
-from landingdeal.core.events import Budgets, News
+from landingdeal.core.events import ContractsChanged, HubListChanged
 from landingdeal.core.lifecycle import Lifecycle, times_before_kill
 from landingdeal.net.bus import BusReader
 from landingdeal.net.callers import CallerConnections
 from landingdeal.net.config import Config, TopologyEvent, read_config
 from landingdeal.net.hubs import HubConnections
-from landingdeal.service.life import run
+from landingdeal.service.main_loop import run
 from landingdeal.service.signals import Signals
-from landingdeal.threads import start_lasting_thread
+from landingdeal.threads import start_supervised_thread
 
 READY_TIMEOUT_MS = 1000.0  # health checks pass once all lab hubs are connected, or so long after the start
 
@@ -31,9 +31,9 @@
     """Reads the contracts of the operator's file; without one its parser is not even imported."""
     if not operator_path:
         return ()
-    from landingdeal.operator import read_operator
+    from landingdeal.operator_config import parse_operator_config
 
-    return read_operator(Path(operator_path).read_text(encoding="utf-8"), platform=True).contracts
+    return parse_operator_config(Path(operator_path).read_text(encoding="utf-8"), on_platform=True).contracts
 
 
 def serve(path: str, operator_path: str, signals: Signals) -> None:
@@ -54,7 +54,7 @@
                 hub_address.health is Health.REMOVED,
                 hub_address.health is Health.DRAINING,
             )
-        inbox.tell(News(event.change))
+        inbox.put(HubListChanged(event.change))
 
     def mark_ready() -> None:
         until = now_ms() + READY_TIMEOUT_MS
@@ -70,8 +70,8 @@
     def load_configuration() -> None:
         new_config, new_contracts = read_platform(path), read_contracts(operator_path)
         bus.change_address(new_config.bus, new_config.known)
-        inbox.tell(Budgets(new_contracts))
+        inbox.put(ContractsChanged(new_contracts))
 
     bus.start()
-    start_lasting_thread("ready", mark_ready)
+    start_supervised_thread("ready", mark_ready)
     run(broker, callers.flush, signals, load_configuration)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -32,7 +32,7 @@
     TimerFired,
     WatchList,
 )
-from tests.helpers import EVEN, SETTINGS, Stage, exchange, line
+from tests.helpers import EVEN, SETTINGS, SoftswitchHarness, exchange, list_entry
 
 N = 3000
 
@@ -45,7 +45,7 @@
     """
     admitted: Counter[int] = Counter()
     for first_choice, offered_percent in ((1, 20), (2, 50), (3, 30)):
-        stage = Stage(EVEN, free=0, seed=first_choice)
+        stage = SoftswitchHarness(EVEN, free_circuits=0, seed=first_choice)
         for number, hold_back in ((1, 0.1), (2, 0.2), (3, 0.4)):
             free_circuits = 90 if number == first_choice else 40 if number == 1 and two_tandems else 0
             stage.circuits(number, free_circuits, hold_back)
@@ -79,7 +79,7 @@
 
 
 def test_the_direct_route_goes_before_the_tandem_with_the_freest_first_leg() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     call, _ = stage.call(1)
     assert stage.sent(call) == [exchange(1)]
     stage.circuits(1, 0)
@@ -91,7 +91,7 @@
 
 
 def test_a_transit_call_is_sent_to_its_destination_or_refused() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     call, _ = stage.call(2, transit=True)
     assert stage.sent(call) == [exchange(2)]
     stage.circuits(2, 0)
@@ -100,7 +100,7 @@
 
 
 def test_a_transit_call_is_not_thinned_again() -> None:
-    stage = Stage(EVEN)
+    stage = SoftswitchHarness(EVEN)
     stage.circuits(2, 100, 0.9)
     calls = []
     for _ in range(20):
@@ -111,27 +111,27 @@
 
 
 def test_rule_one_every_call_is_answered_once_and_in_time() -> None:
-    stage = Stage(free=0)
-    call, _ = stage.call(1, budget=900.0)
+    stage = SoftswitchHarness(free_circuits=0)
+    call, _ = stage.call(1, budget_ms=900.0)
     offered_at = stage.now
     for _ in range(40):
         stage.give(TimerFired(0), 25.0)
     assert stage.answers(call) == 1
-    (refused_at,) = (t for t, a in stage.done if isinstance(a, Refuse) and a.call == call)
+    (refused_at,) = (t for t, a in stage.recorded_actions if isinstance(a, Refuse) and a.call == call)
     assert refused_at <= offered_at + 900.0
     stage.circuits(1, 50)
     assert stage.sent(call) == []
 
 
 def test_rule_one_a_call_for_the_own_number_is_answered_once_and_never_sent_to_the_own_exchange() -> None:
-    stage = Stage(free=0)
+    stage = SoftswitchHarness(free_circuits=0)
     call, _ = stage.call(0)
     stage.give(TimerFired(0), 4000.0)
     assert stage.answers(call) == 1 and not stage.sent(call)
 
 
 def test_rule_two_no_set_up_is_sent_while_an_attempt_is_pending() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     call, _ = stage.call(1)
     for n in (1, 2, 3, 4):
         stage.circuits(n, 90)
@@ -141,22 +141,22 @@
 
 @pytest.mark.parametrize("health", [Health.DRAINING, Health.REMOVED])
 def test_rule_three_no_set_up_goes_to_a_leaving_exchange(health: Health) -> None:
-    stage = Stage()
-    stage.give(ExchangeList(ListKind.CHANGES, (line(1, health),)))
+    stage = SoftswitchHarness()
+    stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, health),)))
     calls = [stage.call(1)[0] for _ in range(5)]
     assert all(exchange(1) not in stage.sent(c) for c in calls)
 
 
 def test_rule_three_an_exchange_missing_from_a_whole_list_is_gone() -> None:
-    stage = Stage()
-    stage.give(ExchangeList(ListKind.FULL, tuple(line(n) for n in (0, 2, 3, 4))))
+    stage = SoftswitchHarness()
+    stage.give(ExchangeList(ListKind.FULL, tuple(list_entry(n) for n in (0, 2, 3, 4))))
     call, _ = stage.call(1)
     assert not stage.sent(call)
 
 
 def test_rule_four_a_cold_exchange_is_paced_and_not_used_as_tandem() -> None:
-    stage = Stage()
-    stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
+    stage = SoftswitchHarness()
+    stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, started_ms=stage.now),)))
     calls = [stage.call(1)[0] for _ in range(20)]
     assert sum(len(stage.sent(c)) for c in calls) <= 1
     stage.circuits(2, 0)
@@ -165,7 +165,7 @@
 
 
 def test_rule_five_a_call_is_not_sent_again_before_the_release_time() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     stage.circuits(1, 0)
     stage.circuits(2, 90)
     call, _ = stage.call(1)
@@ -175,12 +175,12 @@
     for _ in range(30):
         stage.circuits(3, 90)
         stage.give(TimerFired(0), 50.0)
-    sent_at = [t for t, a in stage.done if isinstance(a, SetUp) and a.call == call]
+    sent_at = [t for t, a in stage.recorded_actions if isinstance(a, SetUp) and a.call == call]
     assert len(sent_at) == 2 and sent_at[1] >= ended_at + SETTINGS.release_wait_ms
 
 
 def test_a_call_is_answered_when_its_attempts_are_used_up() -> None:
-    stage = Stage(replace(SETTINGS, max_attempts=2))
+    stage = SoftswitchHarness(replace(SETTINGS, max_attempts=2))
     call, _ = stage.call(1)
     for attempt in range(2):
         stage.give(
@@ -193,14 +193,14 @@
 
 def test_a_single_shot_call_is_neither_sent_again_nor_refused() -> None:
     single_shot_classes = (replace(SETTINGS.classes[0], retry_policy=RetryPolicy.SINGLE_SHOT),)
-    stage = Stage(replace(SETTINGS, classes=single_shot_classes))
+    stage = SoftswitchHarness(replace(SETTINGS, classes=single_shot_classes))
     call, _ = stage.call(1)
     actions = stage.give(AttemptEnded(call, exchange(1), 0, AttemptOutcome.TIMED_OUT, False, 900.0), 900.0)
     assert any(isinstance(a, FailCall) for a in actions) and len(stage.sent(call)) == 1
 
 
 def test_a_tandem_that_rejected_a_call_is_not_used_for_that_destination() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     stage.circuits(1, 0)
     stage.circuits(2, 99)
     call, _ = stage.call(1)
@@ -216,7 +216,7 @@
 def test_an_exchange_that_answered_within_a_restart_time_is_not_cold(
     since_answer_ms: float, cold: bool
 ) -> None:
-    stage = Stage(EVEN)
+    stage = SoftswitchHarness(EVEN)
     first, _ = stage.call(1)
     stage.give(CallEstablished(first, exchange(1), 0, 40.0), 40.0)
     stage.give(TimerFired(0), 10.0)
@@ -228,7 +228,7 @@
 
 
 def test_a_failed_exchange_gets_single_recovery_probes_and_is_cold_afterwards() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     call, _ = stage.call(1)
     stage.give(AttemptEnded(call, exchange(1), 0, AttemptOutcome.UNREACHABLE, False, 10.0), 10.0)
     calls = [stage.call(1)[0] for _ in range(10)]
@@ -244,7 +244,7 @@
 
 
 def test_slow_answers_narrow_the_window() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     for _ in range(6):
         call, _ = stage.call(1)
         stage.give(CallEstablished(call, exchange(1), 0, 60.0), 60.0)
@@ -257,7 +257,7 @@
 
 
 def test_failed_probes_of_the_own_processor_shed_load() -> None:
-    stage = Stage(replace(EVEN, may_probe=True, load_reporting=LoadReporting.WHEN_PROBED))
+    stage = SoftswitchHarness(replace(EVEN, may_probe=True, load_reporting=LoadReporting.WHEN_PROBED))
     for _ in range(8):
         probes = [a for a in stage.give(TimerFired(0), 1000.0) if isinstance(a, Probe)]
         assert exchange(0) in [a.exchange for a in probes]
@@ -267,12 +267,12 @@
 
 
 def test_a_class_of_higher_worth_is_thinned_less_and_the_total_share_is_kept() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     admitted: Counter[int] = Counter()
     for index in range(N):
         class_index = 1 if index % 10 == 0 else 0
         stage.circuits(1, 90, 0.5)
-        call, actions = stage.call(1, kind=class_index)
+        call, actions = stage.call(1, class_index=class_index)
         if any(isinstance(a, SetUp) for a in actions):
             admitted[class_index] += 1
             stage.give(CallEstablished(call, exchange(1), 0, 50.0))
@@ -283,7 +283,7 @@
 
 
 def test_late_redials_are_thinned_before_first_tries() -> None:
-    stage = Stage(EVEN)
+    stage = SoftswitchHarness(EVEN)
     admitted: Counter[bool] = Counter()
     redials: list[int] = []
     for index in range(N):
@@ -305,7 +305,7 @@
 
 
 def test_callers_with_a_short_budget_do_not_count_as_redials() -> None:
-    stage = Stage(EVEN)
+    stage = SoftswitchHarness(EVEN)
     admitted: Counter[bool] = Counter()
     for index in range(N):
         short_budget = index % 2 == 0
@@ -322,20 +322,20 @@
 
 
 def test_a_list_on_request_is_watched_and_requested_again_after_a_failure() -> None:
-    stage = Stage(replace(SETTINGS, list_on_request=True))
+    stage = SoftswitchHarness(replace(SETTINGS, list_on_request=True))
     for _ in range(30):
         stage.give(TimerFired(0), 100.0)
-    assert sum(isinstance(a, WatchList) for _, a in stage.done) == 1
+    assert sum(isinstance(a, WatchList) for _, a in stage.recorded_actions) == 1
     stage.give(ExchangeList(ListKind.FAILED))
-    actions_before = len(stage.done)
+    actions_before = len(stage.recorded_actions)
     for _ in range(30):
         stage.give(TimerFired(0), 100.0)
-    assert any(isinstance(a, WatchList) for _, a in stage.done[actions_before:])
+    assert any(isinstance(a, WatchList) for _, a in stage.recorded_actions[actions_before:])
 
 
 def test_pool_calls_try_the_first_choice_then_the_freest_allowed_pool() -> None:
     pool_classes = (replace(SETTINGS.classes[0], pools=(1, 2, 3)),)
-    stage = Stage(replace(SETTINGS, mesh=False, own_number=-1, classes=pool_classes))
+    stage = SoftswitchHarness(replace(SETTINGS, mesh=False, own_number=-1, classes=pool_classes))
     stage.circuits(3, 99)
     stage.circuits(4, 100)
     call, _ = stage.call(1)
@@ -346,7 +346,7 @@
 
 
 def test_events_for_unknown_calls_and_exchanges_are_ignored() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     stage.give(CallAbandoned(999))
     stage.give(CallAbandoned(999))
     stage.give(AttemptEnded(999, exchange(77), 0, AttemptOutcome.TIMED_OUT, True, 1.0))
@@ -360,23 +360,23 @@
 
 
 def test_at_most_one_timer_is_pending() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     for _ in range(200):
         stage.circuits(1, 50)
     ticks = stage.now / 100.0  # one timer a tick, however many events come between
-    assert sum(isinstance(a, SetTimer) for _, a in stage.done) <= ticks + 1
-    assert len(stage.wakes) == 1
+    assert sum(isinstance(a, SetTimer) for _, a in stage.recorded_actions) <= ticks + 1
+    assert len(stage.timer_times) == 1
 
 
 def test_a_report_without_known_load_values_changes_nothing() -> None:
-    stage = Stage(replace(SETTINGS, load_fields=(LoadField.UNKNOWN,)))
+    stage = SoftswitchHarness(replace(SETTINGS, load_fields=(LoadField.UNKNOWN,)))
     stage.give(Report(exchange(1), False, True, 0.0, (3.0,)))
     stage.give(CallOffered(1, 1, 0, 1, 3000.0))
     assert stage.sent(1) == [exchange(1)]
 
 
 def test_a_queued_call_that_cannot_be_established_in_time_is_not_sent() -> None:
-    stage = Stage(EVEN)
+    stage = SoftswitchHarness(EVEN)
     for _ in range(8):
         call, _ = stage.call(1)
         stage.give(CallEstablished(call, exchange(1), 0, 450.0), 450.0)
@@ -392,7 +392,7 @@
 
 
 def test_calls_wait_while_the_own_processor_is_down() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     call, _ = stage.call(1)
     stage.give(
         AttemptEnded(
@@ -406,24 +406,24 @@
 
 
 def test_the_offered_rate_that_sets_the_cold_pace_is_kept_while_an_exchange_is_gone() -> None:
-    stage = Stage(EVEN)
-    stage.give(ExchangeList(ListKind.CHANGES, (line(1, Health.REMOVED),)))
+    stage = SoftswitchHarness(EVEN)
+    stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, Health.REMOVED),)))
     for _ in range(100):
         stage.call(1)
         stage.give(TimerFired(0), 200.0)
-    stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
-    actions_before = len(stage.done)
+    stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, started_ms=stage.now),)))
+    actions_before = len(stage.recorded_actions)
     for _ in range(25):
         stage.call(1)
         for call in [c for c in stage.switch.calls.values() if c.pending_exchange]:
             stage.give(CallEstablished(call.id, exchange(1), 0, 60.0))
         stage.give(TimerFired(0), 200.0)
-    sent = sum(isinstance(a, SetUp) for _, a in stage.done[actions_before:])
+    sent = sum(isinstance(a, SetUp) for _, a in stage.recorded_actions[actions_before:])
     assert 6 <= sent <= 20
 
 
 def test_an_advised_or_lately_used_tandem_goes_before_a_freer_first_leg() -> None:
-    stage = Stage()
+    stage = SoftswitchHarness()
     stage.circuits(1, 0)
     stage.circuits(2, 90)
     stage.give(CallOffered(8000, 1, 0, 1, 3000.0, advised_number=3))
@@ -439,7 +439,7 @@
 
 
 def test_the_trunk_reservation_is_kept_from_calls_that_have_a_direct_group() -> None:
-    stage = Stage(others=3, free=0)
+    stage = SoftswitchHarness(other_exchanges=3, free_circuits=0)
     stage.circuits(2, 9)
     call, _ = stage.call(1)
     assert not stage.sent(call)
@@ -456,7 +456,7 @@
 
 
 def test_a_blocked_call_queries_its_destination_for_free_second_legs() -> None:
-    stage = Stage(MESSAGING)
+    stage = SoftswitchHarness(MESSAGING)
     stage.circuits(1, 0)
     stage.circuits(2, 90)
     call, actions = stage.call(1)
@@ -468,7 +468,7 @@
 
 
 def test_a_query_is_answered_with_the_own_trunk_groups() -> None:
-    stage = Stage(MESSAGING)
+    stage = SoftswitchHarness(MESSAGING)
     stage.circuits(2, 7)
     (reply,) = stage.give(PeerMessage(3, struct.pack(">cH", b"?", 0)))
     assert isinstance(reply, SendPeerMessage) and reply.receiver == 3 and len(reply.payload) <= 256
@@ -476,7 +476,7 @@
 
 
 def test_unanswered_queries_delay_calls_briefly_and_later_not_at_all() -> None:
-    stage = Stage(MESSAGING)
+    stage = SoftswitchHarness(MESSAGING)
     stage.circuits(1, 0)
     delays = []
     for _ in range(4):
@@ -503,7 +503,7 @@
     ],
 )
 def test_malformed_peer_messages_are_ignored(payload: bytes) -> None:
-    stage = Stage(MESSAGING)
+    stage = SoftswitchHarness(MESSAGING)
     assert stage.give(PeerMessage(1, payload)) == []
     assert stage.give(PeerMessage(60000, leg_report(1, (2, 9)))) == []
     assert not stage.switch.exchanges[exchange(1)].legs
@@ -514,12 +514,12 @@
 
 
 def test_after_a_stall_late_answers_do_not_count_and_calls_keep_their_age() -> None:
-    stage = Stage(EVEN)
+    stage = SoftswitchHarness(EVEN)
     calls = []
     for index in range(6):
         stage.give(CallOffered(7000 + index, 1, 0, 1, 3000.0, called_number=7000 + index), 30.0)
         calls.append(7000 + index)
-    stage.wakes.clear()  # the timer fires two seconds late
+    stage.timer_times.clear()  # the timer fires two seconds late
     for call in calls:
         if stage.sent(call):
             stage.give(CallEstablished(call, exchange(1), 0, 2000.0), 2000.0 if call == calls[0] else 0.0)
@@ -528,7 +528,7 @@
     stage.circuits(2, 0)
     for n in (1, 3, 4):
         stage.circuits(n, 0)
-    stage.wakes.clear()
+    stage.timer_times.clear()
     # 1,300 ms of the call's slo of 1,500 ms have passed.
     stage.give(CallOffered(7100, 2, 0, 1, 1700.0, called_number=7100), 2000.0)
     for _ in range(7):
@@ -537,7 +537,7 @@
 
 
 def test_two_leg_calls_are_thinned_while_most_of_them_fail() -> None:
-    stage = Stage(EVEN)
+    stage = SoftswitchHarness(EVEN)
 
     def call_over_tandem(number: int, succeeds: bool) -> bool:
         stage.circuits(number, 0)
@@ -570,20 +570,22 @@
 def test_rule_four_all_softswitches_together_pace_a_cold_exchange(instances: int) -> None:
     """Calls for the cold exchange are always queued at every softswitch: each sends as much as it may."""
     stages = [
-        Stage(replace(EVEN, own_number=0, softswitch_count=instances), seed=index)
+        SoftswitchHarness(replace(EVEN, own_number=0, softswitch_count=instances), seed=index)
         for index in range(instances)
     ]
     sent: list[float] = []
     for stage in stages:
-        stage.give(ExchangeList(ListKind.CHANGES, (line(1, came_up=stage.now),)))
-        started_at, actions_before = stage.now, len(stage.done)
+        stage.give(ExchangeList(ListKind.CHANGES, (list_entry(1, started_ms=stage.now),)))
+        started_at, actions_before = stage.now, len(stage.recorded_actions)
         for index in range(60):
             # The total number of calls does not depend on the number of softswitches.
             if index % instances == 0 or index == 0:
                 stage.call(1)
             stage.give(TimerFired(0), 100.0)
         sent += [
-            sent_time - started_at for sent_time, a in stage.done[actions_before:] if isinstance(a, SetUp)
+            sent_time - started_at
+            for sent_time, a in stage.recorded_actions[actions_before:]
+            if isinstance(a, SetUp)
         ]
     most_in_250_ms = max(sum(begin <= t < begin + 250 for t in sent) for begin in range(0, 5000, 50))
     assert sent and most_in_250_ms <= (3 if instances == 3 else instances / 3)
@@ -592,7 +594,7 @@
 
 def test_a_call_for_the_own_number_goes_over_a_tandem_while_the_callers_exchange_starts() -> None:
     """A call handed over here, for a subscriber of this exchange: it must not be sent to the own exchange."""
-    stage = Stage()
+    stage = SoftswitchHarness()
     stage.circuits(2, 90)
     call, _ = stage.call(0)
     assert stage.sent(call) == [exchange(2)], "the freest first leg"
--- a/tests/test_one_answer.py
+++ b/tests/test_one_answer.py
@@ -14,12 +14,12 @@
 
 from landingdeal.clock import now_ms
 from landingdeal.core import steps
-from landingdeal.core.events import Why, Withdrawn
+from landingdeal.core.events import RefusalReason, SetUpCancelled
 from landingdeal.net.link import CallerLink
 from landingdeal.net.transaction import CallerTransaction
 from landingdeal.sip.message import encode, request
 from tests.rig.front import Front, Gate
-from tests.scenario import BODY, PATIENCE_S, Platform, play
+from tests.scenario import BODY, TIMEOUT_S, PlatformHarness, play
 
 IDLE_S = 0.2
 
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_one_answer(name: str, tmp_path: Path) -> None:
-    platform = Platform(tmp_path)
+    platform = PlatformHarness(tmp_path)
     try:
         play(platform, SCENARIOS[name])
     finally:
@@ -112,15 +112,15 @@
 def front() -> Iterator[Front]:
     test_front = Front()
     yield test_front
-    steps.hold = None
+    steps.hook = None
     test_front.end()
 
 
 def cancel_set_up(front: Front, call: str = "a") -> None:
     headers = ("call-id", call), ("cseq", "1 CANCEL")
     front.sock.sendall(encode(request("CANCEL", f"sip:{call}@net", *headers)))
-    (event,) = list(front.inbox.take(now_ms() + PATIENCE_S * 1000))
-    assert isinstance(event, Withdrawn)
+    (event,) = list(front.inbox.take(now_ms() + TIMEOUT_S * 1000))
+    assert isinstance(event, SetUpCancelled)
 
 
 def read_until_idle(front: Front, idle_s: float = IDLE_S) -> bytes:
@@ -152,12 +152,12 @@
 
 
 def test_one_refusal_when_reader_and_main_thread_both_refuse_at_the_end(front: Front) -> None:
-    gate = Gate(steps.TAKEN)
+    gate = Gate(steps.REGISTERED)
     front.set_up()
     gate.held()
     front.inbox.closed = True
-    front.life.stop(now_ms())
-    front.life.core_gone(now_ms())
+    front.life.request_stop(now_ms())
+    front.life.core_stopped(now_ms())
     front.callers.flush()
     gate.go.set()
     assert read_until_idle(front).count(b"SIP/2.0 503") == 1
@@ -166,8 +166,8 @@
 def test_one_answer_when_core_and_main_thread_both_answer(front: Front) -> None:
     front.set_up()
     offer = front.offered()
-    offer.caller.refuse(0.0, Why.TURNED_AWAY)
-    offer.caller.refuse(0.0, Why.TURNED_AWAY)
+    offer.caller.refuse(0.0, RefusalReason.UNAVAILABLE)
+    offer.caller.refuse(0.0, RefusalReason.UNAVAILABLE)
     assert read_until_idle(front).count(b"SIP/2.0 503") == 1
 
 
@@ -179,7 +179,7 @@
     transaction = CallerTransaction(front.callers, link, request("INVITE", "sip:a@net", ("call-id", "a")))
     assert transaction.reachable()
     peer_sock.close()
-    until = now_ms() + PATIENCE_S * 1000
+    until = now_ms() + TIMEOUT_S * 1000
     while transaction.reachable() and now_ms() < until:
         pass
     assert not transaction.reachable()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -24,7 +24,7 @@
 from badgerstile.wire import read_settings
 from landingdeal.clock import now_ms
 from landingdeal.core.broker import Inbox
-from landingdeal.core.events import Attempt, Ended, HubDied, Offer, Probed
+from landingdeal.core.events import Attempt, AttemptFailed, HubFailed, Offer, ProbeCompleted
 from landingdeal.lab.ports import free_port
 from landingdeal.net.bus import BusReader
 from landingdeal.net.callers import CallerConnections
@@ -33,8 +33,8 @@
 from landingdeal.net.link import MAX_QUEUED_MESSAGES, CallerLink, HubLink, Link
 from landingdeal.net.transaction import CallerTransaction
 from landingdeal.sip.message import Message, encode, request
-from landingdeal.threads import start_lasting_thread, start_thread
-from tests.scenario import ROOT, SETTINGS, Platform, play
+from landingdeal.threads import start_supervised_thread, start_thread
+from tests.scenario import ROOT, SETTINGS, PlatformHarness, play
 
 SCENARIOS = {
     "a call is established, its hub releases it, the release reaches its caller": """
@@ -293,7 +293,7 @@
 
 @pytest.mark.parametrize("name", EXPANDED_SCENARIOS)
 def test_platform(name: str, tmp_path: Path) -> None:
-    harness = Platform(tmp_path)
+    harness = PlatformHarness(tmp_path)
     try:
         play(harness, EXPANDED_SCENARIOS[name])
     except AssertionError as error:
@@ -311,7 +311,7 @@
         "patience=1e3", "dest=\u0661", "x=" + "9" * 5000,
     ],
 )  # fmt: skip
-def test_values_out_of_range_are_refused_and_reach_no_hub(values: str, running: Platform) -> None:
+def test_values_out_of_range_are_refused_and_reach_no_hub(values: str, running: PlatformHarness) -> None:
     play(running, f"""
         caller send INVITE bad {values}
         caller expect 400 bad
@@ -320,8 +320,8 @@
 
 
 @pytest.fixture(scope="module")
-def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Platform]:
-    harness = Platform(tmp_path_factory.mktemp("running"))
+def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[PlatformHarness]:
+    harness = PlatformHarness(tmp_path_factory.mktemp("running"))
     yield harness
     assert "Traceback" not in harness.end()
 
@@ -331,7 +331,7 @@
 
 
 def test_contracts_apply_on_the_platform_and_the_sip_front_stays_off(tmp_path: Path) -> None:
-    harness = Platform(tmp_path, CONTRACT + SIP)
+    harness = PlatformHarness(tmp_path, CONTRACT + SIP)
     try:
         play(harness, """
             caller send INVITE a Organization:payments
@@ -388,7 +388,7 @@
 
 
 @pytest.mark.parametrize("size", [60 * 1024 * 1024, 3_000_000_000])
-def test_an_oversized_message_is_refused_and_not_kept_in_memory(size: int, running: Platform) -> None:
+def test_an_oversized_message_is_refused_and_not_kept_in_memory(size: int, running: PlatformHarness) -> None:
     with socket.create_connection(("127.0.0.1", running.port)) as oversized_sock:
         head = f"INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\nContent-Length: {size}\r\n\r\n"
         oversized_sock.settimeout(8)
@@ -441,7 +441,7 @@
     last = hub.last_received_ms
     for silent_ms in (2000, 6900, 7250, 7500, 9000):
         hubs.check_hubs(last + silent_ms)
-    assert [event for event in inbox.take(last)] == [HubDied(b"h", last + 7250)]
+    assert [event for event in inbox.take(last)] == [HubFailed(b"h", last + 7250)]
 
 
 def test_a_hub_that_was_removed_is_connected_again_while_its_old_connection_is_open() -> None:
@@ -479,7 +479,7 @@
         while (old.keeper_running or old.pending) and now_ms() < until:
             time.sleep(0.01)
         assert not old.keeper_running and not old.pending
-        assert [type(event) for event in inbox.take(now_ms())] == [HubDied]
+        assert [type(event) for event in inbox.take(now_ms())] == [HubFailed]
         hubs.update_hub(b"a", "", True)
         hubs.check_hubs(now_ms() + 7100)
         hubs.check_hubs(now_ms() + 7200)
@@ -528,8 +528,8 @@
         received: list[object] = []
         while len(received) < 1 + restarted and now_ms() < until:
             received += inbox.take(until)
-        assert received[0] == Ended(attempt, AttemptOutcome.CANCELLED)
-        assert received[1:] == ([HubDied(b"h", hub.connected_ms)] if restarted else [])
+        assert received[0] == AttemptFailed(attempt, AttemptOutcome.CANCELLED)
+        assert received[1:] == ([HubFailed(b"h", hub.connected_ms)] if restarted else [])
         new.close()
 
 
@@ -568,7 +568,7 @@
     hubs.probe(b"h", now_ms() + 250)
     hubs.check_hubs(now_ms() + 251)
     (event,) = inbox.take(now_ms())
-    assert isinstance(event, Probed) and not event.well and 249 < event.latency_ms <= 250
+    assert isinstance(event, ProbeCompleted) and not event.succeeded and 249 < event.latency_ms <= 250
 
 
 @pytest.mark.parametrize(
@@ -582,8 +582,8 @@
         (None, "=", "the operator's file is not TOML"),
         (None, "[sip]\nenabled = true", "the operator's file lacks 'settings'"),
         (None, SIP.replace("127.0.0.1:5071", "hub.example:5071"), "sip.hub addis-1 is not an IPv4 address"),
-        (None, SIP.replace("hub = 2", "hub = 9"), "leads to 9, which no lab hub has"),
-        (None, "[sop]", "names what is not known: sop"),
+        (None, SIP.replace("hub = 2", "hub = 9"), "refers to hub 9, which is not in sip.hub"),
+        (None, "[sop]", "has unknown sections: sop"),
         (None, '[[contract]]\nteam = "a"\nclasses = []\nper_s = 0\nat_once = 1', "must be above 0"),
     ],
 )
@@ -662,9 +662,13 @@
     assert hub.queued == [attempt]
     hub.keeper_running = True  # no keeper thread is started here
     hubs.update_hub(b"h", "127.0.0.1:1", False, draining=True)
-    assert not hub.queued and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
+    assert not hub.queued and list(inbox.take(now_ms())) == [
+        AttemptFailed(attempt, AttemptOutcome.UNREACHABLE)
+    ]
     hubs.set_up(attempt)
-    assert not hub.queued and list(inbox.take(now_ms())) == [Ended(attempt, AttemptOutcome.UNREACHABLE)]
+    assert not hub.queued and list(inbox.take(now_ms())) == [
+        AttemptFailed(attempt, AttemptOutcome.UNREACHABLE)
+    ]
 
 
 def test_an_attempt_cancelled_while_its_connection_comes_up_gets_its_cancel_after_its_invite() -> None:
@@ -702,7 +706,7 @@
         if attempts.qsize() < 3:
             raise RuntimeError("injected fault")
 
-    start_lasting_thread("test", work)
+    start_supervised_thread("test", work)
     until = now_ms() + 5000
     while attempts.qsize() < 3 and now_ms() < until:
         time.sleep(0.01)
@@ -773,7 +777,7 @@
 
     monkeypatch.setattr(threading.Thread, "start", refused)
     finished = threading.Event()
-    start_lasting_thread("test", finished.set)
+    start_supervised_thread("test", finished.set)
     assert finished.wait(5) and len(attempts) == 4
     attempts.clear()
     with pytest.raises(RuntimeError):
