--- a/tests/test_capture_writing.py
+++ b/tests/test_capture_writing.py
@@ -262,10 +262,10 @@
     ]
     (tmp_path / "in.pcap").write_bytes(encode_capture(to_packets(messages), PcapEncoder()))
     extra = f'[sip.capture]\nread = "{tmp_path}/in.pcap"\nwrite = "{tmp_path}/out.pcapng"\n'
-    stage = SipHarness(tmp_path, "udp", extra, port=port)
+    harness = SipHarness(tmp_path, "udp", extra, port=port)
     try:
-        play(stage, "hub1 expect INVITE a\nhub1 send 200 a\nhub1 expect ACK a\n")
-        play(stage, "hub1 expect BYE a\nhub1 send 200 a of=BYE\n")
+        play(harness, "hub1 expect INVITE a\nhub1 send 200 a\nhub1 expect ACK a\n")
+        play(harness, "hub1 expect BYE a\nhub1 send 200 a of=BYE\n")
         deadline_ms = deadline()
         calls: list[CallRecord] = []
         while now_ms() < deadline_ms:
@@ -282,9 +282,9 @@
         assert (
             caller_leg.released_by == hub_leg.released_by and caller_leg.bye_response_ns >= caller_leg.bye_ns
         )
-        play(stage, "program stop\nprogram ends 0\n")
+        play(harness, "program stop\nprogram ends 0\n")
     finally:
-        log = stage.end()
+        log = harness.end()
     assert "3 messages played; skipped: 1 to another port" in log
     assert "messages written, 0 dropped (queue full), 0 not written (disk error)" in log
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,7 +65,7 @@
             classes_with_pools = tuple(replace(c, pools=tuple(range(remote_count + 1))) for c in base.classes)
             base = replace(base, mesh=False, own_number=-1, classes=classes_with_pools)
         self.uses_pools = uses_pools
-        self.stage = SoftswitchHarness(base, remote_count, seed)
+        self.harness = SoftswitchHarness(base, remote_count, seed)
         self.calls: dict[int, ExpectedCall] = {}
         self.leaving: set[bytes] = set()
         self.sent_while_cold: dict[bytes, list[float]] = {}
@@ -74,7 +74,7 @@
         self.check_actions()
 
     def check_actions(self) -> None:
-        for now, action in self.stage.recorded_actions[self.checked :]:
+        for now, action in self.harness.recorded_actions[self.checked :]:
             if isinstance(action, SetTimer):
                 self.timers.append((action.due_ms, action.token))
             elif isinstance(action, SetUp):
@@ -103,36 +103,36 @@
                 assert not call.concluded, "two final answers"
                 assert call.pending_exchange is None and now <= call.answer_by + 20
                 call.concluded = True
-        self.checked = len(self.stage.recorded_actions)
+        self.checked = len(self.harness.recorded_actions)
 
     def step(self) -> None:
-        rng, stage = self.rng, self.stage
+        rng, harness = self.rng, self.harness
         if rng.random() < 0.02:
             self.stall_two_seconds()
         else:
-            stage.now += rng.choice((0.0, 5.0, 5.0, 20.0, 60.0))
-        for timer in sorted(t for t in self.timers if t[0] <= stage.now):
+            harness.now += rng.choice((0.0, 5.0, 5.0, 20.0, 60.0))
+        for timer in sorted(t for t in self.timers if t[0] <= harness.now):
             self.timers.remove(timer)
-            stage.give(TimerFired(timer[1]))
+            harness.give(TimerFired(timer[1]))
             self.check_actions()
         for call_id, call in list(self.calls.items()):
             if call.concluded:
                 continue
-            if call.pending_exchange and (stage.now >= call.attempt_ends_at or rng.random() < 0.2):
-                self.end_attempt(call_id, call, stage.now >= call.attempt_ends_at)
+            if call.pending_exchange and (harness.now >= call.attempt_ends_at or rng.random() < 0.2):
+                self.end_attempt(call_id, call, harness.now >= call.attempt_ends_at)
                 self.check_actions()
             assert (
-                call.concluded or call.pending_exchange or stage.now <= call.answer_by + 20
+                call.concluded or call.pending_exchange or harness.now <= call.answer_by + 20
             ), "no answer in time"
         chance = rng.random()
         if chance < 0.5:
             self.offer_call()
         elif chance < 0.7:
             number = rng.randint(1, self.remote_count)
-            stage.give(Report(exchange(number), False, True, 0.0, (float(rng.randint(0, 12)), 20.0, -1.0)))
+            harness.give(Report(exchange(number), False, True, 0.0, (float(rng.randint(0, 12)), 20.0, -1.0)))
         elif chance < 0.8:
             load_values = (9.0, 20.0, rng.random())
-            stage.give(
+            harness.give(
                 Report(
                     exchange(rng.randint(0, self.remote_count)), True, rng.random() < 0.8, 30.0, load_values
                 )
@@ -145,49 +145,49 @@
             call_id = rng.choice(list(self.calls))
             if not self.calls[call_id].pending_exchange:
                 self.calls[call_id].concluded = True
-                stage.give(CallAbandoned(call_id))
+                harness.give(CallAbandoned(call_id))
         self.check_actions()
 
     def stall_two_seconds(self) -> None:
         """Two seconds pass without an event; callers whose budget ends meanwhile abandon their calls."""
-        self.stage.now += 2000.0
-        self.stage.timer_times.clear()
+        self.harness.now += 2000.0
+        self.harness.timer_times.clear()
         for call_id, call in self.calls.items():
-            if not call.concluded and call.answer_by < self.stage.now:
+            if not call.concluded and call.answer_by < self.harness.now:
                 call.concluded = True
-                self.stage.give(CallAbandoned(call_id))
+                self.harness.give(CallAbandoned(call_id))
                 self.check_actions()
 
     def send_peer_message(self) -> None:
         number, kind = self.rng.randint(0, self.remote_count), self.rng.choice((b"?", b"!", b"#"))
         payload = struct.pack(">cH", kind, number) + self.rng.randbytes(self.rng.choice((0, 3, 30, 31)))
-        self.stage.give(PeerMessage(self.rng.randint(0, self.remote_count + 3), payload))
+        self.harness.give(PeerMessage(self.rng.randint(0, self.remote_count + 3), payload))
 
     def offer_call(self) -> None:
-        rng, stage = self.rng, self.stage
-        call_id, number = stage.next_call + 1, rng.randint(0, self.remote_count)
+        rng, harness = self.rng, self.harness
+        call_id, number = harness.next_call + 1, rng.randint(0, self.remote_count)
         transit, budget = (
             not self.uses_pools and rng.random() < 0.2,
             rng.choice((40.0, 400.0, 3000.0, 9000.0)),
         )
-        self.calls[call_id] = ExpectedCall(number, stage.now + budget, transit)
+        self.calls[call_id] = ExpectedCall(number, harness.now + budget, transit)
         kind = rng.randint(0, 1)
-        stage.call(number, SETTINGS.classes[kind].width, budget, transit, kind)
+        harness.call(number, SETTINGS.classes[kind].width, budget, transit, kind)
 
     def change_exchange_list(self) -> None:
         number = self.rng.randint(1, self.remote_count)
         health = self.rng.choice((Health.READY, Health.DRAINING, Health.REMOVED))
-        came_up = self.stage.now if health is Health.READY else 0.0
+        came_up = self.harness.now if health is Health.READY else 0.0
         self.leaving.discard(exchange(number))
         self.sent_while_cold.pop(exchange(number), None)
         if health is Health.READY:
             self.sent_while_cold[exchange(number)] = []
         else:
             self.leaving.add(exchange(number))
-        self.stage.give(ExchangeList(ListKind.CHANGES, (list_entry(number, health, came_up),)))
+        self.harness.give(ExchangeList(ListKind.CHANGES, (list_entry(number, health, came_up),)))
 
     def end_attempt(self, call_id: int, call: ExpectedCall, timed_out: bool) -> None:
-        rng, stage, exchange_id, attempt = self.rng, self.stage, call.pending_exchange, call.attempts - 1
+        rng, harness, exchange_id, attempt = self.rng, self.harness, call.pending_exchange, call.attempts - 1
         assert exchange_id is not None
         outcome = AttemptOutcome.TIMED_OUT if timed_out else rng.choice(
             (
@@ -198,10 +198,10 @@
         call.pending_exchange = None
         if outcome is None:
             call.concluded = True
-            stage.give(CallEstablished(call_id, exchange_id, attempt, 80.0))
+            harness.give(CallEstablished(call_id, exchange_id, attempt, 80.0))
             return
         if outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CUT):
-            call.earliest_retry_at = stage.now + SETTINGS.release_wait_ms
+            call.earliest_retry_at = harness.now + SETTINGS.release_wait_ms
         reason = RejectionReason.NONE
         if outcome is AttemptOutcome.TURNED_BACK:
             reason = rng.choice(
@@ -209,7 +209,7 @@
             )
         elif outcome is AttemptOutcome.NOT_SENT:
             reason = rng.choice((RejectionReason.NO_CIRCUIT, RejectionReason.PROCESSOR_FULL))
-        stage.give(AttemptEnded(call_id, exchange_id, attempt, outcome, False, 80.0, reason))
+        harness.give(AttemptEnded(call_id, exchange_id, attempt, outcome, False, 80.0, reason))
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -226,6 +226,6 @@
         scenario = RandomScenario(11, False)
         for _ in range(300):
             scenario.step()
-        return list(scenario.stage.recorded_actions)
+        return list(scenario.harness.recorded_actions)
 
     assert actions_of_a_run() == actions_of_a_run()
