--- a/landingdeal/capture/rewrite.py
+++ b/landingdeal/capture/rewrite.py
@@ -22,10 +22,10 @@
     """The bytes of a capture file with these messages, in chunks."""
     yield file_format.file_header()
     builder, last_ns = PacketBuilder(), 0
-    for seen in messages:
-        frames_of = builder.datagram_frames if seen.transport == "UDP" else builder.stream_frames
-        for number, frame in enumerate(frames_of(seen.source, seen.target, encode(seen.message))):
-            last_ns = max(seen.time_ns + number * 1000, last_ns + 1)
+    for captured in messages:
+        frames_of = builder.datagram_frames if captured.transport == "UDP" else builder.stream_frames
+        for number, frame in enumerate(frames_of(captured.source, captured.target, encode(captured.message))):
+            last_ns = max(captured.time_ns + number * 1000, last_ns + 1)
             yield file_format.packet_record(last_ns, frame)
     for frame in builder.close_all():
         last_ns += 1000
@@ -138,6 +138,6 @@
         uri = self.scrub_value(message.uri) if message.uri else ""
         return replace(message, uri=uri, headers=tuple(headers), body=body)
 
-    def scrub_captured(self, seen: CapturedMessage) -> CapturedMessage:
-        source, target = self.scrub_address(seen.source), self.scrub_address(seen.target)
-        return replace(seen, source=source, target=target, message=self.scrub_message(seen.message))
+    def scrub_captured(self, captured: CapturedMessage) -> CapturedMessage:
+        source, target = self.scrub_address(captured.source), self.scrub_address(captured.target)
+        return replace(captured, source=source, target=target, message=self.scrub_message(captured.message))
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -37,8 +37,8 @@
 def read_calls(files: tuple[str, ...], reading: ReadReport, strict: bool) -> Iterator[CallRecord]:
     """The calls of the files. Counts and problems go to `reading`."""
     calls = CallTracker()
-    for seen in read_messages(files, reading, strict):
-        yield from calls.feed(seen)
+    for captured in read_messages(files, reading, strict):
+        yield from calls.feed(captured)
     yield from calls.end()
 
 
--- a/landingdeal/commands/capture_files.py
+++ b/landingdeal/commands/capture_files.py
@@ -58,11 +58,12 @@
             spans.setdefault(call.call_id, []).append((call.start_ns, last_ns))
 
     def selected() -> Iterator[CapturedMessage]:
-        for seen in read_messages([str(file)], ReadReport()):
+        for captured in read_messages([str(file)], ReadReport()):
             if any(
-                start_ns <= seen.time_ns <= end_ns for start_ns, end_ns in spans.get(seen.message.call_id, ())
+                start_ns <= captured.time_ns <= end_ns
+                for start_ns, end_ns in spans.get(captured.message.call_id, ())
             ):
-                yield seen
+                yield captured
 
     write_capture(out, selected())
     click.echo(f"{sum(map(len, spans.values()))} calls to {out}")
