--- a/landingdeal/capture/plan.py
+++ b/landingdeal/capture/plan.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 
 from landingdeal.capture.calls import CallRecord, Outcome, Party
-from landingdeal.capture.retries import RetryPolicy
+from landingdeal.capture.retries import ReplayRetryPolicy
 from landingdeal.sip.message import Message
 
 BLOCK = 4096  # calls whose copies are drawn at once
@@ -54,7 +54,7 @@
     scale: int = 1  # calls offered per recorded call, the recorded one included
     spread_ms: float = 500.0  # mean delay of a copy after the recorded call; exponentially distributed
     seed: int = 1
-    retries: RetryPolicy = RetryPolicy.RECORDED
+    retries: ReplayRetryPolicy = ReplayRetryPolicy.RECORDED
     transport: str = ""  # UDP or TCP; empty for the recorded transport
     linger_ms: float = 5000.0  # wait for the called side's BYE, beyond the recorded time, before we send BYE
 
@@ -113,7 +113,7 @@
     accepted: list[CallRecord] = []
     for call in calls:
         reason = skip_reason(call)
-        if not reason and call.first_try and options.retries is not RetryPolicy.RECORDED:
+        if not reason and call.first_try and options.retries is not ReplayRetryPolicy.RECORDED:
             reason = "a try again"
         if reason:
             skipped.add(reason)
--- a/landingdeal/capture/player.py
+++ b/landingdeal/capture/player.py
@@ -19,8 +19,8 @@
     ClientTransaction,
     Flow,
     ServerTransaction,
+    SipTransactionState,
     TransactionServices,
-    TransactionState,
     request_in_transaction,
 )
 
@@ -264,8 +264,8 @@
         """The TCP connection of this call failed."""
         transaction = self.invite_transaction
         if transaction is not None and transaction.state in (
-            TransactionState.CALLING,
-            TransactionState.PROCEEDING,
+            SipTransactionState.CALLING,
+            SipTransactionState.PROCEEDING,
         ):
             transaction.transport_failed()
         elif not self.finished and self.dialog is not None:
--- a/landingdeal/capture/retries.py
+++ b/landingdeal/capture/retries.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 
-class RetryPolicy(StrEnum):
+class ReplayRetryPolicy(StrEnum):
     """How a replay treats retries."""
 
     RECORDED = "recorded"  # recorded retries are offered as recorded, no others are made
@@ -37,7 +37,7 @@
 class RetryScheduler:
     """Applies the retry policy to each call and keeps the retry budget."""
 
-    def __init__(self, policy: RetryPolicy, model: RetryModel, rng: random.Random) -> None:
+    def __init__(self, policy: ReplayRetryPolicy, model: RetryModel, rng: random.Random) -> None:
         self.policy, self.model, self.rng = policy, model, rng
         self.first_tries = self.granted = self.denied = 0
 
@@ -47,11 +47,11 @@
 
     def skips(self, is_retry: bool) -> bool:
         """Whether a recorded call is left out because it is a retry."""
-        return is_retry and self.policy is not RetryPolicy.RECORDED
+        return is_retry and self.policy is not ReplayRetryPolicy.RECORDED
 
     def retry_delay_ms(self, status: int, try_number: int, retry_after_ms: float) -> float | None:
         """The delay before the next try, or None for no retry. `try_number` counts from 1."""
-        if self.policy is not RetryPolicy.MODEL or status not in RETRYABLE:
+        if self.policy is not ReplayRetryPolicy.MODEL or status not in RETRYABLE:
             return None
         if try_number > self.model.max_retries or self.granted + 1 > self.model.budget * self.first_tries:
             self.denied += 1
--- a/landingdeal/commands/capture.py
+++ b/landingdeal/commands/capture.py
@@ -17,7 +17,7 @@
 from landingdeal.capture.calls import CallRecord, CallTracker
 from landingdeal.capture.problems import ProblemKind
 from landingdeal.capture.reader import ReadReport, read_messages
-from landingdeal.capture.retries import RetryPolicy
+from landingdeal.capture.retries import ReplayRetryPolicy
 from landingdeal.capture.views import COLUMNS, as_row, call_table, ladder_lines
 from landingdeal.commands.main import EXIT_CANNOT_RUN, EXIT_PROBLEMS
 from landingdeal.errors import parse_address
@@ -173,7 +173,10 @@
     help="Offer only matching calls, for example: class == voice and status >= 500",
 )
 @click.option(
-    "--retries", type=click.Choice([p.value for p in RetryPolicy]), default="recorded", show_default=True
+    "--retries",
+    type=click.Choice([p.value for p in ReplayRetryPolicy]),
+    default="recorded",
+    show_default=True,
 )
 @click.option("--outstanding", type=click.IntRange(1), default=10_000, show_default=True)
 @click.option("--per-s", type=click.FloatRange(0.1), default=5000.0, show_default=True)
@@ -205,7 +208,7 @@
         given["speed"],
         given["scale"],
         seed=given["seed"],
-        retries=RetryPolicy(given["retries"]),
+        retries=ReplayRetryPolicy(given["retries"]),
         transport=(transport or "").upper(),
     )
     records = select_calls(files, reading, given["where"], given["from_s"], given["until_s"])
--- a/landingdeal/sip/front.py
+++ b/landingdeal/sip/front.py
@@ -36,7 +36,7 @@
 from landingdeal.sip.transaction import (
     Flow,
     ServerTransaction,
-    TransactionState,
+    SipTransactionState,
     request_in_transaction,
 )
 from landingdeal.sip.transport import Tap
@@ -120,7 +120,7 @@
             self.event_loop.post(self._release_all)
         if not self.all_released:
             return 1
-        awaiting_states = (TransactionState.CALLING, TransactionState.PROCEEDING)
+        awaiting_states = (SipTransactionState.CALLING, SipTransactionState.PROCEEDING)
         pending_requests = sum(
             transaction.state in awaiting_states for transaction in list(self.client_transactions.values())
         )
@@ -245,7 +245,10 @@
 
     def new_ack(self, message: Message, branch_key: str, flow: Flow) -> None:
         invite = self.server_transactions.get(f"{branch_key}|INVITE")
-        if invite is not None and invite.state in (TransactionState.COMPLETED, TransactionState.CONFIRMED):
+        if invite is not None and invite.state in (
+            SipTransactionState.COMPLETED,
+            SipTransactionState.CONFIRMED,
+        ):
             invite.ack_received()
             return
         side = self._find_side(message, flow)
@@ -457,15 +460,15 @@
     def _send_cancel(self, leg: HubLeg) -> None:
         transaction = leg.transaction
         if transaction is None or transaction.state not in (
-            TransactionState.CALLING,
-            TransactionState.PROCEEDING,
+            SipTransactionState.CALLING,
+            SipTransactionState.PROCEEDING,
         ):
             return
         cancel = request_in_transaction(transaction.request, "CANCEL")
         self._start_client_transaction(transaction.flow, cancel, lambda message: None)
 
         def on_cancel_timeout() -> None:
-            if transaction.state is TransactionState.PROCEEDING:
+            if transaction.state is SipTransactionState.PROCEEDING:
                 transaction.terminate()
                 self._release_circuit(leg)
 
@@ -666,7 +669,7 @@
         if (
             side.cancel_pending
             and forwarded_reinvite is not None
-            and forwarded_reinvite.state is TransactionState.PROCEEDING
+            and forwarded_reinvite.state is SipTransactionState.PROCEEDING
         ):
             side.cancel_pending = False
             self._start_client_transaction(
@@ -763,7 +766,7 @@
                 continue
             if (
                 server_transaction.flow.request_flow is flow
-                and server_transaction.state is TransactionState.COMPLETED
+                and server_transaction.state is SipTransactionState.COMPLETED
             ):
                 # the response may have been written to a connection that was closing: send it again
                 server_transaction.request_retransmitted()
--- a/landingdeal/sip/transaction.py
+++ b/landingdeal/sip/transaction.py
@@ -68,7 +68,7 @@
     def transaction_terminated(self, transaction: Transaction) -> None: ...
 
 
-class TransactionState(Enum):
+class SipTransactionState(Enum):
     CALLING = "calling"  # also stands for Trying of a non-INVITE client transaction
     PROCEEDING = "proceeding"
     COMPLETED = "completed"
@@ -82,7 +82,7 @@
 
     def __init__(self, services: TransactionServices, flow: Flow, message: Message, key: str) -> None:
         self.services, self.flow, self.request, self.key = services, flow, message, key
-        self.state = TransactionState.CALLING
+        self.state = SipTransactionState.CALLING
         self.timing = services.timing
 
     def deadline_after(self, interval: float) -> float:
@@ -107,15 +107,15 @@
 
     def terminate(self) -> None:
         """Ends the transaction and notifies its owner, once."""
-        if self.state is not TransactionState.TERMINATED:
-            self.state = TransactionState.TERMINATED
+        if self.state is not SipTransactionState.TERMINATED:
+            self.state = SipTransactionState.TERMINATED
             self.services.transaction_terminated(self)
 
     def schedule_retransmits(
         self,
         interval: float,
         max_interval: float,
-        while_in_states: tuple[TransactionState, ...],
+        while_in_states: tuple[SipTransactionState, ...],
         send: Callable[[], None],
     ) -> None:
         """Timers A, E and G: sends again after `interval`, which doubles each time up to `max_interval`."""
@@ -136,21 +136,21 @@
     def __init__(self, services: TransactionServices, flow: Flow, message: Message, key: str) -> None:
         super().__init__(services, flow, message, key)
         self.is_invite = message.method == "INVITE"
-        self.state = TransactionState.PROCEEDING
+        self.state = SipTransactionState.PROCEEDING
         self.last_response: Message | None = None
         self.on_unacknowledged: Callable[[], None] | None = None
 
     @property
     def final_response_sent(self) -> bool:
         """Whether the transaction user has given the final response."""
-        return self.state is not TransactionState.PROCEEDING
+        return self.state is not SipTransactionState.PROCEEDING
 
     def request_retransmitted(self) -> None:
         """Absorbs a retransmission of the request and sends the last response again."""
         if self.last_response is not None and self.state in (
-            TransactionState.PROCEEDING,
-            TransactionState.COMPLETED,
-            TransactionState.ACCEPTED,
+            SipTransactionState.PROCEEDING,
+            SipTransactionState.COMPLETED,
+            SipTransactionState.ACCEPTED,
         ):
             self.flow.send(self.last_response)
 
@@ -163,26 +163,29 @@
         if message.status < 200:
             return True
         if not self.is_invite:
-            self.state = TransactionState.COMPLETED
+            self.state = SipTransactionState.COMPLETED
             self.terminate_at(
                 self.deadline_after(0 if self.flow.reliable else self.timing.transaction_timeout)
             )  # timer J
         elif message.status < 300:
-            self.state = TransactionState.ACCEPTED
+            self.state = SipTransactionState.ACCEPTED
             self.terminate_at(self.deadline_after(self.timing.transaction_timeout))  # timer L
         else:
-            self.state = TransactionState.COMPLETED
+            self.state = SipTransactionState.COMPLETED
             if not self.flow.reliable:  # timer G
                 self.schedule_retransmits(
-                    self.timing.t1, self.timing.t2, (TransactionState.COMPLETED,), self.request_retransmitted
+                    self.timing.t1,
+                    self.timing.t2,
+                    (SipTransactionState.COMPLETED,),
+                    self.request_retransmitted,
                 )
             self.terminate_at(self.deadline_after(self.timing.transaction_timeout))  # timer H
         return True
 
     def ack_received(self) -> None:
         """Takes the ACK of a final response other than 2xx."""
-        if self.is_invite and self.state is TransactionState.COMPLETED:
-            self.state = TransactionState.CONFIRMED
+        if self.is_invite and self.state is SipTransactionState.COMPLETED:
+            self.state = SipTransactionState.CONFIRMED
             self.terminate_at(self.deadline_after(0 if self.flow.reliable else self.timing.t4))  # timer I
 
 
@@ -213,9 +216,9 @@
         if not self.flow.reliable:  # timer A, or E
             max_interval = self.timing.transaction_timeout if self.is_invite else self.timing.t2
             retransmit_states = (
-                (TransactionState.CALLING,)
+                (SipTransactionState.CALLING,)
                 if self.is_invite
-                else (TransactionState.CALLING, TransactionState.PROCEEDING)
+                else (SipTransactionState.CALLING, SipTransactionState.PROCEEDING)
             )
             self.schedule_retransmits(self.timing.t1, max_interval, retransmit_states, self._retransmit)
         # timer B, or F
@@ -227,9 +230,9 @@
 
     def _timed_out(self) -> None:
         awaiting_states = (
-            (TransactionState.CALLING,)
+            (SipTransactionState.CALLING,)
             if self.is_invite
-            else (TransactionState.CALLING, TransactionState.PROCEEDING)
+            else (SipTransactionState.CALLING, SipTransactionState.PROCEEDING)
         )
         if self.state in awaiting_states:
             self.terminate()
@@ -237,33 +240,33 @@
 
     def transport_failed(self) -> None:
         """Ends the transaction with a 503 if it still waits for a final response."""
-        if self.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
+        if self.state in (SipTransactionState.CALLING, SipTransactionState.PROCEEDING):
             self.terminate()
             self.on_response(response(Message(), 503))
 
     def response_received(self, message: Message) -> None:
         """Takes a response that matches this transaction, retransmissions included."""
         if message.status < 200:
-            if self.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
-                self.state = TransactionState.PROCEEDING
+            if self.state in (SipTransactionState.CALLING, SipTransactionState.PROCEEDING):
+                self.state = SipTransactionState.PROCEEDING
                 self.on_response(message)
             return
-        if self.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
+        if self.state in (SipTransactionState.CALLING, SipTransactionState.PROCEEDING):
             self._final_response_received(message)
-        elif self.state is TransactionState.COMPLETED and self.ack is not None and message.status >= 300:
+        elif self.state is SipTransactionState.COMPLETED and self.ack is not None and message.status >= 300:
             self.flow.send(self.ack)
-        elif self.state is TransactionState.ACCEPTED and message.status < 300:
+        elif self.state is SipTransactionState.ACCEPTED and message.status < 300:
             self.on_response(message)  # a retransmitted 2xx: its ACK was lost
 
     def _final_response_received(self, message: Message) -> None:
         if not self.is_invite:
-            self.state = TransactionState.COMPLETED
+            self.state = SipTransactionState.COMPLETED
             self.terminate_at(self.deadline_after(0 if self.flow.reliable else self.timing.t4))  # timer K
         elif message.status < 300:
-            self.state = TransactionState.ACCEPTED
+            self.state = SipTransactionState.ACCEPTED
             self.terminate_at(self.deadline_after(self.timing.transaction_timeout))  # timer M
         else:
-            self.state = TransactionState.COMPLETED
+            self.state = SipTransactionState.COMPLETED
             self.ack = ack_for_non_2xx(self.request, message)
             self.flow.send(self.ack)
             # timer D
--- a/tests/scenario_sip.py
+++ b/tests/scenario_sip.py
@@ -44,7 +44,7 @@
         self.sock.close()
 
 
-class Party(Mailbox):
+class ScenarioParty(Mailbox):
     """One caller or lab hub: its address, what it received of each call, and the last request it sent."""
 
     def __init__(self, name: str, transport: str) -> None:
@@ -103,7 +103,7 @@
         return "contact", f"<sip:{self.name}@127.0.0.1:{self.port};transport={self.transport}>"
 
 
-def operator_file(port: int, hubs: dict[str, Party], extra: str = "") -> str:
+def operator_file(port: int, hubs: dict[str, ScenarioParty], extra: str = "") -> str:
     """An operator's file that enables the SIP front with these lab hubs."""
     text = (ROOT / "deploy/operator.toml").read_text()
     settings = text[text.index("[settings]") :]
@@ -126,11 +126,11 @@
         folder: Path,
         transport: str,
         extra: str = "",
-        hubs: Mapping[str, Party] | None = None,
+        hubs: Mapping[str, ScenarioParty] | None = None,
         port: int = 0,
     ) -> None:
         self.transport, self.port = transport, port or free_port()
-        self.parties = dict(hubs or {name: Party(name, transport) for name in ("hub1", "hub2")})
+        self.parties = dict(hubs or {name: ScenarioParty(name, transport) for name in ("hub1", "hub2")})
         path = folder / "operator.toml"
         path.write_text(operator_file(self.port, self.parties, extra))
         self.program = subprocess.Popen(
@@ -152,13 +152,13 @@
                 assert self.program.wait(TIMEOUT_S) == int(words[0])
             return
         party = (
-            self.parties.setdefault(party_name, Party(party_name, self.transport))
+            self.parties.setdefault(party_name, ScenarioParty(party_name, self.transport))
             if party_name not in self.parties
             else None
         )
         getattr(self, f"_{verb}")(party or self.parties[party_name], *words)
 
-    def connection(self, party: Party) -> UdpConnection | TcpConnection:
+    def connection(self, party: ScenarioParty) -> UdpConnection | TcpConnection:
         """The connection that a party sends on; over TCP a new one is opened if it has none."""
         if self.transport == "udp":
             return UdpConnection(party.sock, ("127.0.0.1", self.port))
@@ -170,7 +170,7 @@
 
     # --- steps ---
 
-    def _send(self, party: Party, method_or_status: str, name: str, *options: str) -> None:
+    def _send(self, party: ScenarioParty, method_or_status: str, name: str, *options: str) -> None:
         fields = dict(m.split("=", 1) for m in options if "=" in m.partition(":")[0])
         pairs = [m.partition(":") for m in options if "=" not in m.partition(":")[0]]
         headers = [(name.lower(), value) for name, _, value in pairs]
@@ -180,7 +180,12 @@
             self._send_request(party, method_or_status, name, fields, headers)
 
     def _send_response(
-        self, party: Party, status: int, name: str, request_method: str, headers: list[tuple[str, str]]
+        self,
+        party: ScenarioParty,
+        status: int,
+        name: str,
+        request_method: str,
+        headers: list[tuple[str, str]],
     ) -> None:
         connection, answered_request = party.received_requests[party.call_ids[name], request_method]
         body = BODY if status == 200 and request_method == "INVITE" else b""
@@ -192,7 +197,12 @@
         connection.put(encode(message))
 
     def _send_request(
-        self, party: Party, method: str, name: str, fields: dict[str, str], headers: list[tuple[str, str]]
+        self,
+        party: ScenarioParty,
+        method: str,
+        name: str,
+        fields: dict[str, str],
+        headers: list[tuple[str, str]],
     ) -> None:
         call_id = party.call_ids.setdefault(name, f"{name}-{party.name}")
         final_response, established_response = (
@@ -237,10 +247,10 @@
         version = fields.get("version", "2.0")
         connection.put(encode(message).replace(b" SIP/2.0\r\n", f" SIP/{version}\r\n".encode(), 1))
 
-    def _again(self, party: Party, name: str) -> None:
+    def _again(self, party: ScenarioParty, name: str) -> None:
         self.connection(party).put(encode(party.last_sent[party.call_ids[name]]))
 
-    def _expect(self, party: Party, expected: str, name: str = "", *options: str) -> None:
+    def _expect(self, party: ScenarioParty, expected: str, name: str = "", *options: str) -> None:
         while True:
             _, message = party.received.get(timeout=TIMEOUT_S)
             if message is None and expected != "end":
@@ -252,13 +262,13 @@
         )
         check_message(party.name, expected, name, known_call_id, message, options)
 
-    def _repeats(self, party: Party, count: str) -> None:
+    def _repeats(self, party: ScenarioParty, count: str) -> None:
         deadline = time.monotonic() + TIMEOUT_S
         while party.repeat_count() < int(count):
             assert time.monotonic() < deadline, f"{party.name}: {party.repeat_count()} repeats"
             time.sleep(0.01)
 
-    def _wait(self, party: Party, duration_ms: str) -> None:
+    def _wait(self, party: ScenarioParty, duration_ms: str) -> None:
         deadline = time.monotonic() + int(duration_ms) / 1000
         with suppress(queue.Empty):
             while True:
@@ -267,13 +277,13 @@
                     message is None or 100 <= message.status < 200
                 ), f"{party.name}: expected no message, got {message}"
 
-    def _close(self, party: Party) -> None:
+    def _close(self, party: ScenarioParty) -> None:
         party.close(False)
 
-    def _reset(self, party: Party) -> None:
+    def _reset(self, party: ScenarioParty) -> None:
         party.close(True)
 
-    def _gone(self, party: Party) -> None:
+    def _gone(self, party: ScenarioParty) -> None:
         """Closes its listening socket and resets its connections."""
         with suppress(OSError):
             party.sock.shutdown(socket.SHUT_RDWR)
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -28,7 +28,7 @@
 from landingdeal.capture.reader import ReadReport, read_messages
 from landingdeal.capture.replay import Replay
 from landingdeal.capture.results import last_tries, summary
-from landingdeal.capture.retries import RetryModel, RetryPolicy, RetryScheduler
+from landingdeal.capture.retries import ReplayRetryPolicy, RetryModel, RetryScheduler
 from landingdeal.capture.sample import TrafficProfile as Traffic
 from landingdeal.capture.sample import encode_capture, generate_traffic, to_packets
 from landingdeal.errors import ConfigError
@@ -129,7 +129,7 @@
 def test_calls_left_out_of_the_plan_are_counted(calls: list[CallRecord]) -> None:
     skipped = SkippedCalls({})
     changed = [replace(calls[0], started_before_capture=True), replace(calls[1], first_try=1), *calls[2:]]
-    assert len(plan(changed, ReplayOptions(retries=RetryPolicy.NONE), skipped)) == 23
+    assert len(plan(changed, ReplayOptions(retries=ReplayRetryPolicy.NONE), skipped)) == 23
     assert skipped.reasons == {"begun before the capture": 1, "a try again": 1}
     assert len(plan(changed, ReplayOptions(), SkippedCalls({}))) == 24
 
@@ -162,7 +162,7 @@
     first_tries: int, budget: float, max_retries: int, seed: int
 ) -> None:
     model = RetryModel(max_retries=max_retries, budget=budget)
-    retries = RetryScheduler(RetryPolicy.MODEL, model, random.Random(seed))
+    retries = RetryScheduler(ReplayRetryPolicy.MODEL, model, random.Random(seed))
     for _ in range(first_tries):
         retries.count_first_try()
     granted = 0
@@ -174,7 +174,7 @@
         assert try_number <= max_retries + 1
     assert granted == retries.granted <= budget * first_tries
     assert retries.retry_delay_ms(403, 1, 0.0) is None
-    for policy in (RetryPolicy.NONE, RetryPolicy.RECORDED):
+    for policy in (ReplayRetryPolicy.NONE, ReplayRetryPolicy.RECORDED):
         assert RetryScheduler(policy, model, random.Random(1)).retry_delay_ms(503, 1, 0.0) is None
 
 
@@ -235,7 +235,7 @@
 
 def test_refused_calls_are_retried_within_the_budget(calls: list[CallRecord]) -> None:
     answerer = StubUserAgent(StubBehaviour(refusal_status=lambda user: 486))
-    options = ReplayOptions(retries=RetryPolicy.MODEL)
+    options = ReplayOptions(retries=ReplayRetryPolicy.MODEL)
     model = RetryModel(max_retries=2, initial_delay_ms=50.0, min_delay_ms=20.0, budget=0.4)
     replay = offer(plan(calls, options, SkippedCalls({})), answerer.port, options, model=model)
     answerer.end()
--- a/tests/test_convincing.py
+++ b/tests/test_convincing.py
@@ -18,7 +18,7 @@
 from landingdeal.sip.address import parse_uri
 from landingdeal.sip.message import Message, encode, request, response
 from tests.scenario import BODY
-from tests.scenario_sip import Party, SipHarness
+from tests.scenario_sip import ScenarioParty, SipHarness
 
 CALL_COUNT = 80
 RELEASE_S = 0.3
@@ -37,7 +37,7 @@
 )
 
 
-class FaultyHub(Party):
+class FaultyHub(ScenarioParty):
     """A hub whose behaviour follows from the number called; it answers each attempt after a call's first."""
 
     def __init__(self, name: str, transport: str, ledger: AttemptLedger) -> None:
@@ -147,7 +147,7 @@
                     self.not_before[user] = now + RELEASE_S
 
 
-def make_invite(caller: Party, harness: SipHarness, number: int) -> Message:
+def make_invite(caller: ScenarioParty, harness: SipHarness, number: int) -> Message:
     user = f"{1 + number % 2}{number:03}"
     via = f"SIP/2.0/{caller.transport.upper()} 127.0.0.1:{caller.port};branch=z9hG4bKmany{number}"
     return request(
@@ -163,7 +163,7 @@
     ledger = AttemptLedger()
     hubs = {name: FaultyHub(name, transport, ledger) for name in ("hub1", "hub2")}
     harness = SipHarness(tmp_path, transport, hubs=hubs)
-    caller = Party("caller", transport)
+    caller = ScenarioParty("caller", transport)
     final_responses: dict[str, set[bytes]] = defaultdict(set)
     try:
         connection = harness.connection(caller)
@@ -197,7 +197,7 @@
     assert any(count > 1 for count in ledger.attempt_counts.values()), "no call had a second attempt"
 
 
-def send_ack(caller: Party, harness: SipHarness, final: Message) -> None:
+def send_ack(caller: ScenarioParty, harness: SipHarness, final: Message) -> None:
     number = final.call_id.partition("-")[2]
     sent_invite = make_invite(caller, harness, int(number))
     via = final.get("via") if final.status >= 300 else sent_invite.get("via") + "ack"
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -14,7 +14,7 @@
 from landingdeal.operator_config import parse_operator_config
 from landingdeal.sip.front import SipFront
 from tests.scenario import TIMEOUT_S, play
-from tests.scenario_sip import Party, SipHarness, operator_file
+from tests.scenario_sip import ScenarioParty, SipHarness, operator_file
 
 ESTABLISHED_CALL = """
         caller send INVITE a
@@ -324,7 +324,7 @@
 
     def __init__(self, transport: str) -> None:
         self.transport, self.port = transport, free_port()
-        self.parties = {"hub1": Party("hub1", transport)}
+        self.parties = {"hub1": ScenarioParty("hub1", transport)}
         operator = parse_operator_config(operator_file(self.port, self.parties))
         assert operator.sip is not None and operator.settings is not None
         self.inbox = Inbox()
